--- a/crates/coordinator/examples/hollow/mod.rs
+++ b/crates/coordinator/examples/hollow/mod.rs
@@ -433,7 +433,7 @@
                     let (lot, item) = (next.lot, next.item.id);
                     self.push(self.now + self.run_time, Event::Ran { at, life, part, lot, item });
                 }
-                Effect::Others(_) | Effect::Log(..) => {}
+                Effect::Others(_) | Effect::Reports(_) | Effect::Log(..) => {}
             }
         }
         let member = &mut self.members[at];
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use rainlug::Time;
 use rainlug_consensus::{MemberId, Records};
-use rainlug_registry::Worker;
+use rainlug_registry::{Worker, WorkerReport};
 
 /// A call of a client, worker or operator; answered by [`Effect::Answer`].
 #[derive(Clone, Debug)]
@@ -87,6 +87,8 @@
     Worker(Worker),
     /// Others that send requests to workers.
     Others(usize),
+    /// What all processes saw of workers of late.
+    Reports(Vec<WorkerReport>),
     /// An item of a batch job to be run at a worker; then [`Coordinator::ran`].
     Run {
         part: u16,
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -18,6 +18,7 @@
 mod news;
 mod part;
 mod quota;
+mod reports;
 pub mod room;
 pub mod roster;
 mod seats;
@@ -34,7 +35,7 @@
 use rainlug_batch::RunEnd;
 use rainlug_consensus::{Member, MemberId, Settings};
 use rainlug_fleet::{Card, View, Ways};
-use rainlug_registry::{Configuration, Gossip, gossip};
+use rainlug_registry::{Configuration, Gossip, gossip, report};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -141,6 +142,7 @@
     /// Until when what it missed is compared with others.
     comparing: Time,
     admission: admission::Admission,
+    reports: reports::ReportExchange,
     effects: Vec<Effect>,
     diagnostics: diagnostics::Diagnostics,
     violations: invariants::Violations,
@@ -216,6 +218,7 @@
             has_fellows: false,
             comparing: now.steady,
             admission: admission::Admission::default(),
+            reports: reports::ReportExchange::default(),
             effects: Vec::new(),
             diagnostics: diagnostics::Diagnostics::default(),
             violations: invariants::Violations::default(),
@@ -329,6 +332,9 @@
     /// A datagram's payload, from where it came.
     pub fn datagram(&mut self, now: Now, from: SocketAddr, payload: &[u8]) {
         self.hear(now);
+        if report::carries_reports(payload) {
+            return self.heard_reports(payload);
+        }
         let mut sink = Sink::new(&mut self.effects);
         let _ = self.view.heard(now.steady, from, payload, &mut sink);
         self.settle();
--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -19,6 +19,7 @@
     pub(crate) fn members(&mut self) {
         let now = self.now.steady;
         let mut living = BTreeMap::new();
+        let mut zones: BTreeMap<String, Vec<SocketAddr>> = BTreeMap::new();
         self.has_fellows = false;
         for member in self.view.members() {
             for (card, standing, _) in member.processes {
@@ -33,6 +34,7 @@
                 if standing > Standing::Suspect {
                     continue;
                 }
+                zones.entry(card.zone.clone()).or_default().push(card.at);
                 let control = (port != 0).then(|| SocketAddr::new(card.at.ip(), port));
                 living.insert(card.at, (role, control));
             }
@@ -46,6 +48,7 @@
         let gateways = living.values().filter(|(gateway, _)| *gateway).count();
         let before = self.living.values().filter(|(gateway, _)| *gateway).count();
         self.living = living;
+        self.reports.members(&self.info.zone, self.info.at, zones);
         self.registrars.borrow_mut().clear();
         let peers: Vec<SocketAddr> = self.living.keys().copied().collect();
         self.gossip.peers(now, &peers);
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use rainlug_coordinator::{
     Answer, Call, Coordinator, Effect, KEEP_SLACK, NodeInfo, Now, founding_id, part_of_lot,
 };
-use rainlug_registry::Worker;
+use rainlug_registry::{Worker, WorkerReport};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -51,6 +51,8 @@
     /// What it has in force, by version and text; every version that it ever acted on.
     pub in_force: Vec<u64>,
     pub workers: BTreeMap<String, Worker>,
+    /// Reports on workers that were handed to its data plane.
+    pub reports: Vec<WorkerReport>,
     pub log: Vec<String>,
 }
 
@@ -185,6 +187,7 @@
             busy_until: 0,
             in_force: Vec::new(),
             workers: BTreeMap::new(),
+            reports: Vec::new(),
             log: Vec::new(),
         });
         place
@@ -316,6 +319,15 @@
         self.answers.get(&ticket).map(|a| a.1.clone())
     }
 
+    /// A machine's data plane saw something of workers.
+    pub fn report(&mut self, at: usize, seen: Vec<WorkerReport>) {
+        let now = self.time(at);
+        if let Some(coordinator) = &mut self.machines[at].coordinator {
+            coordinator.report(now, seen);
+        }
+        self.after(at);
+    }
+
     pub fn pass(&mut self, seconds: f64) {
         self.until(seconds, |_| false);
     }
@@ -485,6 +497,7 @@
                     self.push(self.now + self.run_time, Event::Ran { at, life, part, lot, item, events });
                 }
                 Effect::Others(_) => {}
+                Effect::Reports(reports) => self.machines[at].reports.extend(reports),
                 Effect::Log(what, text) => {
                     self.machines[at].log.push(format!("{} {what}: {text}", self.now / MS))
                 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -25,7 +25,7 @@
 use bytes::Bytes;
 use rainlug::Time;
 use rainlug_placement::Placement;
-use rainlug_registry::{Configuration, Limits, Phase, Route, Worker};
+use rainlug_registry::{Configuration, Limits, Phase, Route, Worker, WorkerReport};
 use rainlug_transport::{Bounds, Pool, Sizes};
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep_until};
@@ -237,6 +237,22 @@
         self.services.borrow().values().for_each(|service| service.placement.borrow_mut().others(count));
     }
 
+    /// What was seen of workers since the last call, for the other processes.
+    pub fn reports(&self) -> Vec<WorkerReport> {
+        let now = self.clock.now();
+        let services = self.services.borrow();
+        services.values().flat_map(|service| service.placement.borrow_mut().reports(now)).collect()
+    }
+
+    /// What all processes saw of workers.
+    pub fn reported(&self, reports: &[WorkerReport]) {
+        let now = self.clock.now();
+        for service in self.services.borrow().values() {
+            let mut placement = service.placement.borrow_mut();
+            reports.iter().for_each(|report| placement.reported(now, report));
+        }
+    }
+
     /// Serves clients for good.
     pub async fn serve(self: Rc<Self>, front: TcpListener, lots: Rc<dyn Lots>) {
         server::accept(self, front, lots).await;
--- a/crates/placement/src/health.rs
+++ b/crates/placement/src/health.rs
@@ -12,6 +12,10 @@
 /// ...and turn a worker grey where there are two of them, and this part of its outcomes.
 const FEW: f64 = 1.5;
 const ERRONEOUS: f64 = 0.25;
+/// What all dispatchers report is remembered over this time, and turns a worker grey where so many failed, by the same part. It is
+/// tried again by all of them once that has faded, so that a fleet of any size does not try it all the time.
+const REPORTED_SPAN: Time = 3 * SECOND;
+const REPORTED_FEW: f64 = 2.5;
 /// Until the first trial of a grey worker, and twice as long after each that fails, up to the most above.
 const TRIAL: Time = SECOND;
 /// Another process has its address: it is out until the list says more.
@@ -37,6 +41,8 @@
     full: Time,
     /// Errors, and all outcomes.
     errors: Faded<2>,
+    /// The same as all dispatchers report it.
+    reported: Faded<2>,
     trial_at: Time,
     pace: Time,
     trying: bool,
@@ -52,6 +58,7 @@
             away: Time::MIN,
             full: Time::MIN,
             errors: Faded::new(now, SPAN),
+            reported: Faded::new(now, REPORTED_SPAN),
             trial_at: now,
             pace: TRIAL,
             trying: false,
@@ -112,6 +119,11 @@
         }
     }
 
+    /// The answer to a request ought to have begun long ago.
+    pub fn overdue(&mut self, now: Time) {
+        self.errors.add(now, [1.0, 1.0]);
+    }
+
     /// A trial goes out: no other does before its bar would be over again.
     pub fn tries(&mut self, now: Time) {
         self.trial_at = now.saturating_add(self.pace);
@@ -143,7 +155,27 @@
         self.full = Time::MIN;
     }
 
+    /// Of requests that ended at the worker, so many failed, by all dispatchers' reports.
+    pub fn reported(&mut self, now: Time, failed: f64, ended: f64) {
+        if ended > 0.0 {
+            self.reported.add(now, [failed, ended]);
+        }
+    }
+
+    /// Whether it fails often by what this dispatcher saw, or all of them.
     pub fn grey(&self, now: Time) -> bool {
+        self.fails_here(now) || self.fails_elsewhere(now)
+    }
+
+    fn fails_elsewhere(&self, now: Time) -> bool {
+        if self.reported.most(0) < REPORTED_FEW {
+            return false;
+        }
+        let [failed, ended] = self.reported.sums(now);
+        failed >= REPORTED_FEW && failed > ERRONEOUS * ended
+    }
+
+    fn fails_here(&self, now: Time) -> bool {
         if self.errors.most(0) < FEW {
             return false;
         }
@@ -153,7 +185,7 @@
 
     /// Whether one request may be risked on it.
     pub fn trial(&self, now: Time) -> bool {
-        (self.bar.is_some_and(|b| b.until <= now) || self.grey(now) && !self.doubted())
+        (self.bar.is_some_and(|b| b.until <= now) || self.fails_here(now) && !self.doubted())
             && self.trial_at <= now
     }
 
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -8,6 +8,7 @@
 mod load;
 mod numbers;
 mod prefix;
+mod reports;
 mod server;
 mod solve;
 mod turns;
@@ -16,6 +17,7 @@
 use numbers::{Faded, Map, ratio};
 use prefix::Chain;
 use rainlug::{SECOND, Time};
+use rainlug_registry::report::report_name;
 use rainlug_registry::{Phase, Worker};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -126,6 +128,8 @@
     class: u64,
     sent: Time,
     started: bool,
+    /// It was reported as overdue.
+    overdue: bool,
     bulk: bool,
     /// Tokens of its prompt that the worker had not read, and of all that was unread there with it.
     unread: u64,
@@ -146,6 +150,8 @@
     /// Places in `servers` of workers that are gone.
     vacant: Vec<usize>,
     named: std::collections::HashMap<String, usize>,
+    /// The same by the names of reports.
+    report_names: Map<u32, usize>,
     classes: Map<u64, Class>,
     jobs: Map<u64, Job>,
     tickets: u64,
@@ -178,6 +184,7 @@
             servers: Vec::new(),
             vacant: Vec::new(),
             named: std::collections::HashMap::new(),
+            report_names: Map::default(),
             classes: Map::default(),
             jobs: Map::default(),
             tickets: 0,
@@ -219,6 +226,7 @@
                 *share = 0.0;
             }
             self.named.insert(worker.id.clone(), j);
+            self.report_names.insert(report_name(&worker.id), j);
             self.dirty = true;
         }
     }
@@ -330,6 +338,7 @@
             class: ask.class,
             sent: now,
             started: false,
+            overdue: false,
             bulk: ask.bulk,
             unread,
             ahead: if ask.prompt > 0 { ahead + unread as f64 } else { 0.0 },
@@ -366,6 +375,7 @@
         let server = &mut self.servers[j];
         server.load.count(now, server.flying, fresh, others);
         server.load.told(now, (running, waiting), server.flying, server.unstarted);
+        server.seen.loaded(now, (running, waiting));
         server.health.told_load();
         if slots > 0 {
             server.slots = slots;
@@ -382,6 +392,9 @@
         let end = if mute { End::Silent } else { end };
         let doubted = server.health.doubted();
         server.health.ended(now, end);
+        if !job.overdue {
+            server.seen.ended(end);
+        }
         self.dirty |= doubted != server.health.doubted();
         if !job.started {
             unread_no_more(server, &job);
@@ -464,6 +477,7 @@
             && server.flying == 0
             && self.named.remove(&server.worker.id).is_some()
         {
+            self.report_names.remove(&report_name(&server.worker.id));
             server.memory.clear();
             self.vacant.push(j);
         }
--- a/crates/placement/src/load.rs
+++ b/crates/placement/src/load.rs
@@ -41,6 +41,18 @@
         self.told = Some(Told { at: now, others, waiting: unread, all_waiting: waiting });
     }
 
+    /// What another dispatcher was told `age` ago, unless later news is known; `own` requests of this one are there.
+    pub fn heard(&mut self, now: Time, age: Time, (running, waiting): (u32, u32), own: u32, unread: u32) {
+        let at = now.saturating_sub(age);
+        if self.told.is_some_and(|told| told.at >= at) {
+            return;
+        }
+        self.told(now, (running, waiting), own, unread);
+        if let Some(told) = &mut self.told {
+            told.at = at;
+        }
+    }
+
     pub fn tells(&self) -> bool {
         self.told.is_some()
     }
--- a/crates/placement/src/server.rs
+++ b/crates/placement/src/server.rs
@@ -5,6 +5,7 @@
 use crate::load::Load;
 use crate::numbers::Faded;
 use crate::prefix::Memory;
+use crate::reports::Seen;
 use rainlug::{SECOND, Time};
 use rainlug_registry::{Phase, Worker};
 use std::sync::Arc;
@@ -32,6 +33,8 @@
     pub memory: Memory,
     pub load: Load,
     pub health: Health,
+    /// For the next report.
+    pub seen: Seen,
     /// Seconds that own requests ran there, and their number as so many mean ones.
     pub ran: Faded<2>,
     /// By the last solve.
@@ -56,6 +59,7 @@
             memory: Memory::default(),
             load: Load::new(now),
             health: Health::new(now),
+            seen: Seen::default(),
             ran: Faded::new(now, SPAN),
             share: 0.0,
             theta: 0.0,
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -4,9 +4,11 @@
 pub mod configuration;
 pub mod gossip;
 mod json;
+pub mod report;
 mod wire;
 pub mod worker;
 
 pub use configuration::{Configuration, Findings, Kind, Limits, Route, Service};
 pub use gossip::Gossip;
+pub use report::WorkerReport;
 pub use worker::{Phase, Worker};
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -37,6 +37,8 @@
 /// The largest request body at the control address, in bytes: a configuration.
 pub const MOST_CONTROL: usize = 8 << 20;
 
+/// Between two reports on workers.
+const REPORT: Duration = Duration::from_millis(200);
 /// Between two tries to open a disk that refuses calls.
 const DISK_PAUSE: Duration = Duration::from_millis(250);
 
@@ -196,6 +198,7 @@
         spawn_local(node.clone().datagrams());
         spawn_local(node.clone().timer());
         spawn_local(node.gateway.clone().run());
+        spawn_local(node.clone().report());
         let keeps = node.clone();
         spawn_local(async move {
             while let Some(told) = on_disk.recv().await {
@@ -312,6 +315,7 @@
             }
             Effect::Worker(worker) => self.gateway.worker(&worker),
             Effect::Others(count) => self.gateway.others(count),
+            Effect::Reports(reports) => self.gateway.reported(&reports),
             Effect::Run { part, next } => {
                 spawn_local(self.clone().item(part, next));
             }
@@ -397,6 +401,15 @@
         }
     }
 
+    /// Tells the other processes what was seen of workers, for good.
+    async fn report(self: Rc<Self>) {
+        loop {
+            sleep(REPORT).await;
+            let seen = self.gateway.reports();
+            self.with("report", |coordinator, now| coordinator.report(now, seen));
+        }
+    }
+
     async fn timer(self: Rc<Self>) {
         loop {
             let next = self.coordinator.borrow().next();
