--- a/crates/coordinator/src/calls.rs
+++ b/crates/coordinator/src/calls.rs
@@ -21,6 +21,9 @@
 const PATIENCE: Time = 8 * SECOND / 10;
 /// How long a process that is cut off tries: its callers are better served elsewhere.
 const ISOLATED_PATIENCE: Time = SECOND / 4;
+/// A caller of a process that so many members of a part in a row did not answer is better served by another process: this one cannot
+/// reach them, or not be reached by them. Where it is a leader that is lost, the others answer that they do not lead.
+const SILENT_TRIES: usize = 2;
 /// Statuses that promise that a call has no effect.
 const PROMISES: [u16; 4] = [408, 421, 429, 503];
 /// The answer to a call that cannot be repeated and may take effect yet.
@@ -54,12 +57,15 @@
     goal: Goal,
     /// How long the leader itself may wait.
     slack: Time,
+    begun: Time,
     deadline: Time,
     try_at: Time,
     tries: usize,
     to: Option<SocketAddr>,
     /// Who was tried last and did not answer in time: others may still name it as the leader.
     silent: Option<SocketAddr>,
+    /// Tries in a row that nobody answered.
+    silent_tries: usize,
     hops: usize,
     /// Who was asked last was asked only whether it leads.
     is_locating: bool,
@@ -77,6 +83,12 @@
     pub fn next(&self) -> Time {
         self.try_at.min(self.deadline)
     }
+
+    /// Whether its caller had better ask another process: nobody answers here, and nothing was sent that may take effect yet.
+    fn is_unheard(&self) -> bool {
+        let may_take_effect = self.unclear == MAYBE && self.is_sent;
+        matches!(self.goal, Goal::Caller(_)) && self.silent_tries >= SILENT_TRIES && !may_take_effect
+    }
 }
 
 impl Coordinator {
@@ -176,11 +188,13 @@
             tail,
             goal,
             slack,
+            begun: self.now.steady,
             deadline: self.now.steady + within,
             try_at: 0,
             tries: 0,
             to: None,
             silent: None,
+            silent_tries: 0,
             hops: 0,
             is_locating: false,
             is_sent: false,
@@ -247,7 +261,8 @@
         let due: Vec<u64> = self.asks.iter().filter(|(_, a)| a.next() <= now).map(|(n, _)| *n).collect();
         for nonce in due {
             let Some(ask) = self.asks.get_mut(&nonce) else { continue };
-            if ask.deadline <= now {
+            ask.silent_tries += usize::from(ask.to.is_some());
+            if ask.deadline <= now || ask.is_unheard() {
                 let status = if ask.is_sent { ask.unclear } else { 503 };
                 let answer = Answer { retry: (status == 503).then_some(SECOND / 5), ..Answer::of(status) };
                 self.answered(nonce, answer);
@@ -273,6 +288,11 @@
         if let Some(to) = ask.to.filter(|_| answer.status != ask.unclear) {
             self.hints.insert(ask.part, to);
         }
+        if ask.unclear == MAYBE && !matches!(answer.status, 200..300 | 429) {
+            let waited = (self.now.steady - ask.begun) / 1_000;
+            let text = format!("{} of part {}, {} tries, {waited} ms", answer.status, ask.part, ask.tries);
+            self.effects.push(Effect::Log("job not taken", text));
+        }
         match ask.goal {
             Goal::Caller(ticket) => self.answer(ticket, answer),
             Goal::Nobody => {}
@@ -304,6 +324,7 @@
         if ask.to != Some(from) {
             return;
         }
+        ask.silent_tries = 0;
         let part = ask.part;
         ask.hops += 1;
         let is_found = ask.is_locating && leader == Some(from);
