--- a/crates/batch/src/schedule.rs
+++ b/crates/batch/src/schedule.rs
@@ -25,6 +25,8 @@
     pub due: Time,
     /// When the item may be given up.
     pub until: Time,
+    /// The part of its time that has passed, from 0 to 1, the run itself left out.
+    pub urgency: f64,
 }
 
 /// How a run ended, for the schedule.
@@ -42,6 +44,11 @@
     NoRoom,
 }
 
+/// The part of the mean time of runs that the newest one makes up.
+const NEWEST: f64 = 1.0 / 16.0;
+/// The urgency of what is late already: it still is worth something, but less than what can be in time.
+const LATE: f64 = 0.5;
+
 /// Items whose batch jobs one call plans, but for the last one's.
 const MOST_PLANNED: usize = 1024;
 
@@ -57,8 +64,10 @@
     unplanned: VecDeque<Arc<str>>,
     plans: BTreeMap<Arc<str>, LotPlan>,
     ready: BTreeSet<Turn>,
-    /// Runs that have not ended, by batch job and item; also of items dropped since.
-    running: BTreeSet<(String, String)>,
+    /// Runs that have not ended, by batch job and item, and when they began; also of items dropped since.
+    running: BTreeMap<(String, String), Time>,
+    /// How long whole runs take, on average.
+    run_time: Option<Time>,
     /// Commands that were refused, to be proposed again; one an item.
     refused: BTreeMap<Turn, Command>,
     /// Batch jobs that may have items to abandon when their time is over.
@@ -106,7 +115,8 @@
             unplanned: open.into_iter().map(|lot| lot.head.id.clone()).collect(),
             plans: BTreeMap::new(),
             ready: BTreeSet::new(),
-            running: BTreeSet::new(),
+            running: BTreeMap::new(),
+            run_time: None,
             refused: BTreeMap::new(),
             retained: BTreeSet::new(),
         };
@@ -189,22 +199,39 @@
         }
     }
 
-    /// The next item to run, the one due first; it counts as running until `ended`. Nothing is run whose time is over. None also
-    /// where many items have to be passed over; the next call goes on behind them.
+    /// The next item to run; it counts as running until `ended`: the one due first of those that can be in time, as long as runs take
+    /// of late, and then of the others. Where there is too much to do, what is late already makes nothing else late. Nothing is run
+    /// whose time is over. None also where many items have to be passed over; the next call goes on behind them.
     pub fn next(&mut self, register: &Register, now: Time) -> Option<Next> {
         self.plan_more(register);
         let (due, _, place, id) = self.pop_in_time(now)?;
         let lot = register.lots.get(&*id)?;
         let item = Item::clone(lot.request(place)?);
         let last_event = self.plans.get(&id)?.items.get(&place)?.last_event;
-        self.running.insert((id.to_string(), item.id.clone()));
-        let LotHead { route, host, retain, .. } = &*lot.head;
+        self.running.insert((id.to_string(), item.id.clone()), now);
+        let LotHead { route, host, retain, sent, .. } = &*lot.head;
         let (route, host, until) = (route.clone(), host.clone(), *retain);
-        Some(Next { lot: id.to_string(), route, host, item, last_event, due, until })
+        let urgency = self.urgency(now, *sent, due);
+        Some(Next { lot: id.to_string(), route, host, item, last_event, due, until, urgency })
+    }
+
+    fn urgency(&self, now: Time, sent: Time, due: Time) -> f64 {
+        let latest = due - self.run_time.unwrap_or(0);
+        if now > latest {
+            return LATE;
+        }
+        ((now - sent) as f64 / (latest - sent).max(1) as f64).clamp(0.0, 1.0)
     }
 
-    /// Takes the first ready item whose time is not over, and drops those before it, which `overdue` abandons.
+    /// Takes the first ready item that can be in time, or the first one whose time is not over; those before that one are dropped, and
+    /// `overdue` abandons them.
     fn pop_in_time(&mut self, now: Time) -> Option<Turn> {
+        let earliest_due = now + self.run_time.unwrap_or(0);
+        let timely = self.ready.range((earliest_due, 0, 0, Arc::from(""))..).next().cloned();
+        if let Some(turn) = timely {
+            self.ready.remove(&turn);
+            return Some(turn);
+        }
         for _ in 0..MOST_PASSED_OVER {
             let turn = self.ready.pop_first()?;
             if self.plans.get(&turn.3).is_some_and(|plan| plan.retain > now) {
@@ -219,13 +246,15 @@
     pub fn ended(
         &mut self,
         register: &Register,
+        now: Time,
         lot: &str,
         item: &str,
         events: Vec<(u64, Bytes)>,
         end: RunEnd,
     ) -> Option<Command> {
-        if !self.running.remove(&(lot.to_owned(), item.to_owned())) {
-            return None;
+        let begun = self.running.remove(&(lot.to_owned(), item.to_owned()))?;
+        if end == RunEnd::Complete {
+            self.note_run_time((now - begun).max(0));
         }
         let place = register.lots.get(lot)?.place(item)?;
         let id = self.plans.get_key_value(lot)?.0.clone();
@@ -259,6 +288,12 @@
         Some(Command::List { lot: lot.to_owned(), item: item.to_owned(), state, text })
     }
 
+    fn note_run_time(&mut self, took: Time) {
+        let mean =
+            self.run_time.map_or(took as f64, |mean| mean as f64 * (1.0 - NEWEST) + took as f64 * NEWEST);
+        self.run_time = Some(mean as Time);
+    }
+
     /// A command given to be proposed did not get into the log. `overdue` gives it again, unless a later one lists its item.
     pub fn refused(&mut self, register: &Register, command: Command) {
         let Command::List { lot, item, .. } = &command else { return };
--- a/crates/batch/tests/schedule.rs
+++ b/crates/batch/tests/schedule.rs
@@ -46,7 +46,7 @@
 
     fn ended(&mut self, lot: &str, item: &str, events: &[(u64, &str)], end: RunEnd) -> Option<Command> {
         let events = events.iter().map(|(id, data)| (*id, Bytes::copy_from_slice(data.as_bytes()))).collect();
-        self.schedule.ended(&self.register, lot, item, events, end)
+        self.schedule.ended(&self.register, self.now, lot, item, events, end)
     }
 
     fn refused(&mut self, command: &Command) {
@@ -437,7 +437,7 @@
                         _ => (EVENTS.min(run.last_event + count), RunEnd::Again),
                     };
                     let events: Vec<_> = (run.last_event + 1..=to).map(|id| (id, Bytes::from(format!("event {id}")))).collect();
-                    proposed.extend(owner.schedule.ended(&owner.register, &run.lot, &run.item.id, events, end));
+                    proposed.extend(owner.schedule.ended(&owner.register, owner.now, &run.lot, &run.item.id, events, end));
                 }
                 _ => {}
             }
@@ -466,3 +466,46 @@
         prop_assert_eq!(owner.schedule.waiting(), 0);
     }
 }
+
+#[test]
+fn what_is_late_already_runs_after_what_can_be_in_time() {
+    let items = |ids: &[&str]| ids.iter().map(|id| item(id, 1)).collect::<Vec<_>>();
+    let mut owner = Owner::of(&[
+        submit_within("late", 0, DUE, items(&["1", "2"])),
+        submit_within("timely", 0, DUE + 10 * SECOND, items(&["3", "4"])),
+    ]);
+    assert_eq!(owner.take(1), ["late/1"], "it can be in time yet");
+    owner.now = DUE + SECOND;
+    assert_eq!(owner.take(9), ["timely/3", "timely/4", "late/2"]);
+}
+
+#[test]
+fn what_cannot_be_in_time_by_the_time_that_runs_take_counts_as_late() {
+    let items = |ids: &[&str]| ids.iter().map(|id| item(id, 1)).collect::<Vec<_>>();
+    let mut owner = Owner::of(&[
+        submit_within("first", 0, DUE, items(&["1", "2"])),
+        submit_within("second", 0, DUE + 10 * SECOND, items(&["3"])),
+    ]);
+    assert_eq!(owner.take(1), ["first/1"]);
+    owner.now += 2 * SECOND;
+    owner.ended("first", "1", &[(1, "x")], RunEnd::Complete).expect("it is listed");
+    owner.now = DUE - SECOND;
+    assert_eq!(owner.take(9), ["second/3", "first/2"], "a run takes two seconds");
+}
+
+#[test]
+fn urgency_grows_with_the_time_that_has_passed() {
+    let ids: Vec<String> = (0..6).map(|n| n.to_string()).collect();
+    let names: Vec<&str> = ids.iter().map(|id| &**id).collect();
+    let mut owner = Owner::of(&[submit("l", &names)]);
+    let sent = SECOND;
+    let mut told = Vec::new();
+    for part in [0.25, 0.5, 0.75, 1.0] {
+        owner.now = sent + ((DUE - sent) as f64 * part) as Time;
+        told.push(owner.next().expect("an item").urgency);
+    }
+    assert!(told.windows(2).all(|pair| pair[0] < pair[1]), "{told:?}");
+    assert!((told[0] - 0.25).abs() < 0.01 && told[3] == 1.0, "{told:?}");
+    owner.now = DUE + SECOND;
+    assert_eq!(owner.next().expect("an item").urgency, 0.5, "late");
+}
--- a/crates/coordinator/src/lots_part.rs
+++ b/crates/coordinator/src/lots_part.rs
@@ -241,7 +241,7 @@
         events: Vec<(u64, Bytes)>,
         end: RunEnd,
     ) {
-        let now = self.now.steady;
+        let (now, wall) = (self.now.steady, self.now.wall);
         let Some(part) = self.parts.get_mut(&number) else { return };
         let (Machine::Lots(register), Some(schedule)) = (&part.machine, part.schedule.as_mut()) else {
             return;
@@ -249,7 +249,7 @@
         if end == RunEnd::NoRoom {
             part.pause = now + NO_ROOM;
         }
-        if let Some(command) = schedule.ended(register, lot, item, events, end) {
+        if let Some(command) = schedule.ended(register, wall, lot, item, events, end) {
             self.propose_quietly(number, vec![command]);
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -24,7 +24,7 @@
 
 use bytes::Bytes;
 use rainlug::Time;
-use rainlug_placement::Placement;
+use rainlug_placement::{Mechanisms, Placement};
 use rainlug_registry::{Configuration, Limits, Phase, Route, Worker, WorkerReport};
 use rainlug_transport::{Bounds, Pool, Sizes};
 use tokio::net::TcpListener;
@@ -85,6 +85,8 @@
     pub grace_s: f64,
     pub pass_ms: u64,
     pub seed: u64,
+    /// For experiments.
+    pub mechanisms: Mechanisms,
 }
 
 /// One item of a batch job to be run at a worker.
@@ -100,6 +102,8 @@
     /// Milliseconds that the worker is given (`X-Rainlug-Deadline-Ms`).
     pub deadline_ms: u64,
     pub tried: Vec<String>,
+    /// The part of its batch job's time that has passed, from 0 to 1.
+    pub urgency: f64,
 }
 
 /// How a run of an item ended. Events are (id, data) in order, from `last_event` + 1.
@@ -205,6 +209,7 @@
     fn open(&self, name: &str) -> Rc<Service> {
         let now = self.clock.now();
         let mut placement = Placement::new(&self.told.zone, self.draw_bits(), now);
+        placement.mechanisms(self.told.mechanisms);
         placement.others(self.others.get());
         for worker in self.workers.borrow().values().filter(|w| w.service == name) {
             placement.worker(now, worker);
--- a/crates/gateway/tests/plane/common.rs
+++ b/crates/gateway/tests/plane/common.rs
@@ -8,6 +8,7 @@
 
 use bytes::Bytes;
 use rainlug_gateway::{Gateway, GatewaySettings, Lots, Reply, Replying};
+use rainlug_placement::Mechanisms;
 use rainlug_registry::{Configuration, Phase, Route, Worker};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -227,6 +228,7 @@
 /// What a dispatcher is told of itself, as a rule.
 pub fn settings() -> GatewaySettings {
     GatewaySettings {
+        mechanisms: Mechanisms::all(),
         node: "edge-1".into(),
         zone: "z".into(),
         memory_mb: 200,
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -6,6 +6,7 @@
 mod bulk;
 mod health;
 mod load;
+mod mechanisms;
 mod numbers;
 mod prefix;
 mod reports;
@@ -13,6 +14,8 @@
 mod solve;
 mod turns;
 
+pub use mechanisms::{Mechanisms, UnknownMechanism};
+
 use backlog::Reading;
 use numbers::{Faded, Map, ratio};
 use prefix::Chain;
@@ -49,6 +52,8 @@
     pub class: u64,
     /// From a batch job: may wait, and is held back from workers that are busy.
     pub bulk: bool,
+    /// Of a batch job's request: the part of its time that has passed, from 0 to 1; it may take the more room, the later it is.
+    pub urgency: f64,
     /// Tokens of the prompt and the most that come out; zero where not told.
     pub prompt: u32,
     pub out: u32,
@@ -141,6 +146,7 @@
 }
 
 pub struct Placement {
+    mechanisms: Mechanisms,
     zone: String,
     chance: ChaCha8Rng,
     slots: u64,
@@ -176,6 +182,7 @@
         // Dispatchers that start together must not solve together.
         let timer = now.saturating_add(chance.random_range(0..SOLVE));
         Placement {
+            mechanisms: Mechanisms::all(),
             zone: zone.to_owned(),
             chance,
             slots: 0,
@@ -199,6 +206,15 @@
         }
     }
 
+    /// For experiments: the mechanisms that are on.
+    pub fn mechanisms(&mut self, mechanisms: Mechanisms) {
+        self.mechanisms = mechanisms;
+    }
+
+    fn uses(&self, mechanism: Mechanisms) -> bool {
+        self.mechanisms.contains(mechanism)
+    }
+
     /// What the service's configuration tells of each worker: its slots, and tokens that its memory holds; 0 where it tells none.
     pub fn service(&mut self, slots: u64, kv_tokens: u64) {
         (self.slots, self.kv) = (slots, kv_tokens);
@@ -262,7 +278,8 @@
             self.counts.bulk += 1;
             return Some(j);
         }
-        if chain.long(ask.prompt, self.prompt(now))
+        if self.uses(Mechanisms::PREFIX)
+            && chain.long(ask.prompt, self.prompt(now))
             && let Some(j) = self.affine(now, view, ask, chain)
         {
             self.counts.prefix += 1;
@@ -285,14 +302,14 @@
 
     /// A worker that was barred, or fails, and may be tried again: by a request that nobody else has had, one at a time.
     fn trial(&self, now: Time, view: &turns::ClusterView, ask: &Ask) -> Option<usize> {
-        if view.common || !ask.tried.is_empty() {
+        if view.common || !ask.tried.is_empty() || !self.uses(Mechanisms::HEALTH) {
             return None;
         }
         let due = |s: &Server| {
             s.worker.phase == Phase::Ready
                 && !s.health.away(now)
                 && s.health.trial(now)
-                && (!ask.bulk || self.spares(now, view, s))
+                && (!ask.bulk || self.spares(now, view, s, ask.urgency))
         };
         self.servers.iter().position(due)
     }
@@ -370,7 +387,7 @@
 
     /// `X-Rainlug-Server-Load`: running, waiting, slots.
     pub fn load(&mut self, now: Time, worker: &str, (running, waiting, slots): (u32, u32, u32)) {
-        let Some(&j) = self.named.get(worker) else { return };
+        let Some(&j) = self.named.get(worker).filter(|_| self.uses(Mechanisms::TOLD_LOAD)) else { return };
         let (fresh, others) = (self.fresh(now), self.others);
         let server = &mut self.servers[j];
         server.load.count(now, server.flying, fresh, others);
--- a/crates/placement/src/reports.rs
+++ b/crates/placement/src/reports.rs
@@ -1,6 +1,6 @@
 //! Reports: what this dispatcher saw of workers, for the others, and what they all saw.
 
-use crate::{End, Job, Placement};
+use crate::{End, Job, Mechanisms, Placement};
 use rainlug::Time;
 use rainlug_registry::WorkerReport;
 use rainlug_registry::report::{ReportedLoad, report_name};
@@ -55,7 +55,7 @@
     }
 
     /// How long the answer of an assignment was expected to take to begin; 0 where nothing was known.
-    pub fn expected_start(&self, ticket: u64) -> Time {
+    fn expected_start(&self, ticket: u64) -> Time {
         let Some(job) = self.jobs.get(&ticket) else { return 0 };
         if job.ahead > 0.0 {
             return self.reading.wait(job.ahead) as Time;
@@ -81,7 +81,8 @@
 
     /// What all dispatchers saw of a worker of this service, this one among them.
     pub fn reported(&mut self, now: Time, report: &WorkerReport) {
-        let Some(&j) = self.report_names.get(&report.worker) else { return };
+        let known = self.report_names.get(&report.worker).filter(|_| self.uses(Mechanisms::REPORTS));
+        let Some(&j) = known else { return };
         let (fresh, others) = (self.fresh(now), self.others);
         let server = &mut self.servers[j];
         if let Some(load) = report.load {
--- a/crates/placement/src/solve.rs
+++ b/crates/placement/src/solve.rs
@@ -1,7 +1,7 @@
 //! Shares, solved on their timer from the M/G/1 model (Algorithm 1): docs/design.md of the service tells where it is from.
 
 use crate::server::COLD;
-use crate::{Placement, SOLVE};
+use crate::{Mechanisms, Placement, SOLVE};
 use rainlug::Time;
 use rainlug::shares::{Station, shares};
 use rainlug_registry::Phase;
@@ -63,7 +63,8 @@
         let stations: Vec<Station> = ready.iter().zip(&measured).map(station).collect();
         let most: f64 = stations.iter().map(|s| FULL * (1.0 - s.rho) / s.theta).sum();
         let equal = || vec![1.0 / ready.len().max(1) as f64; ready.len()];
-        let found = shares(&stations, rate.min(most)).unwrap_or_else(equal);
+        let solved = self.uses(Mechanisms::SHARES).then(|| shares(&stations, rate.min(most))).flatten();
+        let found = solved.unwrap_or_else(equal);
         let least = (0..ready.len()).min_by(|&a, &b| stations[a].theta.total_cmp(&stations[b].theta));
         for (i, &j) in ready.iter().enumerate() {
             let s = &mut self.servers[j];
--- a/crates/placement/src/turns.rs
+++ b/crates/placement/src/turns.rs
@@ -1,9 +1,10 @@
 //! The ordinary path: the billiard inside the shares (Algorithm 2), and in what order it may fall on workers where some are
 //! queued, late or ill.
 
+use crate::numbers::mix;
 use crate::prefix::{Chain, weight};
 use crate::server::Server;
-use crate::{Ask, Class, Placement};
+use crate::{Ask, Class, Mechanisms, Placement};
 use rainlug::{Time, turns};
 use rainlug_registry::Phase;
 
@@ -62,8 +63,9 @@
             weight += s.weight(now);
         }
         let mean = weight / ready.max(1) as f64;
+        let is_skipping = self.uses(Mechanisms::SKIP);
         ClusterView {
-            skip: turns::skip_at(mean, SKIP_FLOOR),
+            skip: if is_skipping { turns::skip_at(mean, SKIP_FLOOR) } else { f64::INFINITY },
             common: 2 * ill > ready,
             fresh: self.fresh(now),
             unread: self.unread(now),
@@ -79,7 +81,7 @@
     pub(crate) fn never(&self, now: Time, view: &ClusterView, s: &Server, ask: &Ask) -> bool {
         !s.listed()
             || s.health.away(now)
-            || (s.health.doubted() && !view.common)
+            || (s.health.doubted() && !view.common && self.uses(Mechanisms::HEALTH))
             || ask.tried.iter().any(|t| *t == s.worker.id)
     }
 
@@ -88,6 +90,7 @@
         if self.never(now, view, s, ask) {
             return Rank::Never;
         }
+        let avoids_ill = self.uses(Mechanisms::HEALTH);
         let slots = s.slots(self.slots);
         let there =
             if s.load.tells() { s.occupancy(now, view.fresh, self.others) } else { f64::from(s.flying) };
@@ -97,7 +100,7 @@
         if s.worker.phase == Phase::Silent {
             return Rank::Lost;
         }
-        if !view.common && s.health.grey(now) || s.silent(now) {
+        if avoids_ill && (!view.common && s.health.grey(now) || s.silent(now)) {
             return Rank::Grey;
         }
         if slots > 0.0 && there >= slots {
@@ -107,7 +110,8 @@
             return Rank::Skipped;
         }
         let ahead = s.ahead(now, &self.reading, view.unread);
-        let aim = if ask.aim > 0 { ask.aim as f64 } else { f64::MAX };
+        let is_aimed = ask.aim > 0 && self.uses(Mechanisms::BACKLOG);
+        let aim = if is_aimed { ask.aim as f64 } else { f64::MAX };
         if self.reading.wait(ahead + tokens) > aim || self.crammed(s, ask, there, tokens) {
             return Rank::Late;
         }
@@ -138,12 +142,13 @@
             let rank = self.rank(now, view, s, ask, f64::from(ask.prompt));
             let level = match rank {
                 Rank::Never => continue,
+                Rank::Free | Rank::Queued if !self.uses(Mechanisms::TURNS) => self.draw(j),
                 Rank::Free | Rank::Queued => turns::level(y(class, j), s.fastest, s.share * part),
                 Rank::Outside => s.theta * (1.0 + f64::from(s.flying)),
                 Rank::Late => self.wait(now, view, s, 0.0),
                 _ => s.occupancy(now, view.fresh, self.others) / s.slots(self.slots).max(1.0),
             };
-            let key = (rank, level, !s.near);
+            let key = (rank, level, self.uses(Mechanisms::NEAR) && !s.near);
             if best.is_none_or(|(b, _)| key < b) {
                 best = Some((key, j));
             }
@@ -151,6 +156,11 @@
         best.map(|((rank, ..), j)| (j, rank))
     }
 
+    /// A number by chance for a worker, another one for each pick.
+    fn draw(&self, j: usize) -> f64 {
+        mix(self.tickets ^ mix(j as u64)) as f64
+    }
+
     /// For a long prefix: the least laden of those that kept most of it; where none has it, the first in the prefix's own order
     /// of workers, so that all dispatchers take the same one, unless that is laden far beyond the others.
     pub(crate) fn affine(&self, now: Time, view: &ClusterView, ask: &Ask, chain: &Chain) -> Option<usize> {
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -15,6 +15,7 @@
 use rainlug_coordinator::{Answer, Call, Coordinator, Effect, KEEP_SLACK, NodeInfo, Now, founding_id};
 use rainlug_fleet::envelope::{Envelope, MOST};
 use rainlug_gateway::{Gateway, Item, RanEnd, Reply, Replying};
+use rainlug_placement::Mechanisms;
 use rainlug_registry::{Configuration, Route};
 use rainlug_wal::Report;
 use rand::TryRngCore;
@@ -115,7 +116,7 @@
     ///
     /// # Errors
     /// Where settings, sockets or disk cannot be used.
-    pub async fn run(role: Role, settings: Settings) -> Result<(), Error> {
+    pub async fn run(role: Role, settings: Settings, mechanisms: Mechanisms) -> Result<(), Error> {
         let clock = Clock::start();
         let (saved, mut on_disk) = mpsc::unbounded_channel::<Told>();
         let peer = settings.peer();
@@ -146,7 +147,7 @@
             memory_bytes: (settings.limits.memory_mb * 1e6) as usize,
             link_bytes_per_second: settings.limits.link_bytes_per_second(),
             sync_time: settings.bounds.sync_time(),
-            relays: true,
+            relays: mechanisms.contains(Mechanisms::RELAYS),
             keep_lots: (settings.bounds.status_s * 1e6) as Time + KEEP_SLACK,
             seed: draw(),
         };
@@ -160,6 +161,7 @@
             grace_s: settings.bounds.grace_s,
             pass_ms: settings.bounds.pass_ms as u64,
             seed: draw(),
+            mechanisms,
         });
         let coordinator = Coordinator::new(told, logs, clock.now())?;
         let node = Rc::new(Node {
@@ -368,6 +370,7 @@
                     last_event: next.last_event,
                     deadline_ms: left as u64,
                     tried: Vec::new(),
+                    urgency: next.urgency,
                 };
                 let ran = self.gateway.item(item).await;
                 let end = match ran.end {
--- a/crates/tier/src/roles.rs
+++ b/crates/tier/src/roles.rs
@@ -7,6 +7,7 @@
 use std::time::Duration;
 
 use bpaf::Bpaf;
+use rainlug_placement::Mechanisms;
 use rainlug_sim_worker::{SimWorker, WorkerSettings, engine::Shape};
 
 use crate::log;
@@ -20,6 +21,9 @@
     /// The settings file, in place of the one that RAINLUG_SETTINGS names
     #[bpaf(long, argument("FILE"))]
     settings: Option<PathBuf>,
+    /// For experiments: leaves a mechanism out; may be given several times. A wrong name lists them all
+    #[bpaf(long, argument("NAME"))]
+    without: Vec<String>,
     /// Ends when standard input does
     #[bpaf(long, hide)]
     tied: bool,
@@ -96,11 +100,18 @@
         Ok(settings) => settings,
         Err(error) => return failed(2, &error),
     };
+    let mechanisms = match Mechanisms::without(&started.without) {
+        Ok(mechanisms) => mechanisms,
+        Err(error) => return failed(2, &error),
+    };
     if started.tied {
         tie();
     }
     log::start(&settings.node, &settings.log_level);
-    match runs(Node::run(role, settings)) {
+    if mechanisms != Mechanisms::all() {
+        log::event("experiment", &format!("left out: {}", started.without.join(", ")));
+    }
+    match runs(Node::run(role, settings, mechanisms)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             log::error("stop", &error.to_string());
