--- a/crates/batch/src/schedule.rs
+++ b/crates/batch/src/schedule.rs
@@ -25,8 +25,6 @@
     pub due: Time,
     /// When the item may be given up.
     pub until: Time,
-    /// The part of its time that has passed, from 0 to 1, the run itself left out.
-    pub urgency: f64,
 }
 
 /// How a run ended, for the schedule.
@@ -46,8 +44,6 @@
 
 /// The part of the mean time of runs that the newest one makes up.
 const NEWEST: f64 = 1.0 / 16.0;
-/// The urgency of what is late already: it still is worth something, but less than what can be in time.
-const LATE: f64 = 0.5;
 
 /// Items whose batch jobs one call plans, but for the last one's.
 const MOST_PLANNED: usize = 1024;
@@ -209,18 +205,9 @@
         let item = Item::clone(lot.request(place)?);
         let last_event = self.plans.get(&id)?.items.get(&place)?.last_event;
         self.running.insert((id.to_string(), item.id.clone()), now);
-        let LotHead { route, host, retain, sent, .. } = &*lot.head;
+        let LotHead { route, host, retain, .. } = &*lot.head;
         let (route, host, until) = (route.clone(), host.clone(), *retain);
-        let urgency = self.urgency(now, *sent, due);
-        Some(Next { lot: id.to_string(), route, host, item, last_event, due, until, urgency })
-    }
-
-    fn urgency(&self, now: Time, sent: Time, due: Time) -> f64 {
-        let latest = due - self.run_time.unwrap_or(0);
-        if now > latest {
-            return LATE;
-        }
-        ((now - sent) as f64 / (latest - sent).max(1) as f64).clamp(0.0, 1.0)
+        Some(Next { lot: id.to_string(), route, host, item, last_event, due, until })
     }
 
     /// Takes the first ready item that can be in time, or the first one whose time is not over; those before that one are dropped, and
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -114,7 +114,6 @@
         let ask = Ask {
             class: 0,
             bulk: client.is_none(),
-            urgency: 0.0,
             prompt: request.prompt,
             out: request.out,
             prefix: request.prefix.clone(),
@@ -145,11 +144,6 @@
         if self.gateway.stopping.stage() == Stage::Serving { self.then } else { Then::Close }
     }
 
-    /// It is an item of a batch job of whose time so large a part has passed.
-    pub fn has_urgency(&mut self, urgency: f64) {
-        self.ask.urgency = urgency;
-    }
-
     /// The run begins after that event.
     pub fn goes_on_after(&mut self, last: Option<u64>) {
         self.last = last;
--- a/crates/gateway/src/items.rs
+++ b/crates/gateway/src/items.rs
@@ -30,7 +30,6 @@
     let until = request.arrived + millis(item.deadline_ms);
     let last = Some(item.last_event).filter(|last| *last > 0);
     let mut exchange = Exchange::new(gateway, &request, None, Then::Close);
-    exchange.has_urgency(item.urgency);
     exchange.goes_on_after(last);
     let turn = exchange.turn(&route);
     let ask = exchange.ask(&route, &item.tried);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -102,8 +102,6 @@
     /// Milliseconds that the worker is given (`X-Rainlug-Deadline-Ms`).
     pub deadline_ms: u64,
     pub tried: Vec<String>,
-    /// The part of its batch job's time that has passed, from 0 to 1.
-    pub urgency: f64,
 }
 
 /// How a run of an item ended. Events are (id, data) in order, from `last_event` + 1.
--- a/crates/placement/src/bulk.rs
+++ b/crates/placement/src/bulk.rs
@@ -2,15 +2,12 @@
 
 use crate::server::Server;
 use crate::turns::{ClusterView, Rank, y};
-use crate::{Ask, Class, Mechanisms, Placement};
+use crate::{Ask, Class, Placement};
 use rainlug::{SECOND, Time, turns};
 use rainlug_registry::Phase;
 
-/// Part of a worker's slots that may be taken for one more to go there, where that one has all its time yet, and where it has none:
-/// what has time waits until live requests leave room.
-const ROOM: (f64, f64) = (0.5, 0.8);
-/// What counts as the urgency of all where that is left out.
-const USUAL_URGENCY: f64 = 5.0 / 6.0;
+/// Part of a worker's slots that may be taken for one more to go there.
+const ROOM: f64 = 0.75;
 /// News is still so for this part of the time in which it comes to count by half.
 const NEWS: f64 = 0.5;
 /// News older than this says nothing of a worker that holds nothing of this dispatcher's.
@@ -22,10 +19,8 @@
     /// Whether a worker has room that live requests do not want. Where it usually has none, only news counts that is still so:
     /// who asks again and again would take each error of an estimate for room. Of a worker that holds nothing of this
     /// dispatcher's there is no news: one request brings some.
-    pub(crate) fn spares(&self, now: Time, view: &ClusterView, s: &Server, urgency: f64) -> bool {
-        let urgency = if self.uses(Mechanisms::URGENCY) { urgency.clamp(0.0, 1.0) } else { USUAL_URGENCY };
-        let part = ROOM.0 + (ROOM.1 - ROOM.0) * urgency;
-        let room = part * s.slots(self.slots).max(1.0);
+    pub(crate) fn spares(&self, now: Time, view: &ClusterView, s: &Server) -> bool {
+        let room = ROOM * s.slots(self.slots).max(1.0);
         let told = s.load.usual() < room || s.load.news(now, view.fresh * NEWS);
         s.worker.phase == Phase::Ready
             && s.unstarted == 0
@@ -50,7 +45,7 @@
                 true => !self.never(now, view, s, ask) && (view.common || !s.health.grey(now)),
                 false => self.rank(now, view, s, ask, f64::from(ask.prompt)) <= Rank::Outside,
             };
-            if !fit || !self.spares(now, view, s, ask.urgency) {
+            if !fit || !self.spares(now, view, s) {
                 continue;
             }
             let share = if s.share > 0.0 { s.share } else { 1.0 };
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -52,8 +52,6 @@
     pub class: u64,
     /// From a batch job: may wait, and is held back from workers that are busy.
     pub bulk: bool,
-    /// Of a batch job's request: the part of its time that has passed, from 0 to 1; it may take the more room, the later it is.
-    pub urgency: f64,
     /// Tokens of the prompt and the most that come out; zero where not told.
     pub prompt: u32,
     pub out: u32,
@@ -309,7 +307,7 @@
             s.worker.phase == Phase::Ready
                 && !s.health.away(now)
                 && s.health.trial(now)
-                && (!ask.bulk || self.spares(now, view, s, ask.urgency))
+                && (!ask.bulk || self.spares(now, view, s))
         };
         self.servers.iter().position(due)
     }
--- a/crates/placement/src/mechanisms.rs
+++ b/crates/placement/src/mechanisms.rs
@@ -26,10 +26,8 @@
         const BACKLOG = 1 << 7;
         /// Of equals, workers of the own zone come first.
         const NEAR = 1 << 8;
-        /// The room that batch jobs may take grows with the time that has passed.
-        const URGENCY = 1 << 9;
         /// Calls to stores that nobody answers go by another process.
-        const RELAYS = 1 << 10;
+        const RELAYS = 1 << 9;
     }
 }
 
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -370,7 +370,6 @@
                     last_event: next.last_event,
                     deadline_ms: left as u64,
                     tried: Vec::new(),
-                    urgency: next.urgency,
                 };
                 let ran = self.gateway.item(item).await;
                 let end = match ran.end {
