--- a/crates/batch/examples/costs.rs
+++ b/crates/batch/examples/costs.rs
@@ -8,7 +8,7 @@
 
 /// Texts of each kind and length.
 const TEXTS: usize = 400;
-const LOTS: u64 = 300;
+const JOBS: u64 = 300;
 const ITEMS: u64 = 100;
 
 /// A source of numbers in no order (xorshift).
@@ -66,17 +66,17 @@
 /// With all items listed, each with a text of 3.3 KB.
 fn full_register(random: &mut Random) -> Register {
     let mut register = Register::default();
-    for lot in 0..LOTS {
+    for job in 0..JOBS {
         let item = |id: u64| Item {
-            id: format!("{lot:016x}-{id:06}"),
+            id: format!("{job:016x}-{id:06}"),
             path: "/bulk/run".into(),
             headers: Vec::new(),
             body: Bytes::from(vec![b'x'; 500]),
             token_count: 1,
         };
-        let id = format!("{lot:016x}");
+        let id = format!("{job:016x}");
         register.apply(&Command::Submit {
-            lot: id.clone(),
+            job: id.clone(),
             route: "bulk".into(),
             host: "bulk.example".into(),
             sent: 1,
@@ -88,8 +88,8 @@
         });
         for item in 0..ITEMS {
             let text = StoredText::plain(random.letters(3300).as_bytes());
-            let item = format!("{lot:016x}-{item:06}");
-            register.apply(&Command::List { lot: id.clone(), item, state: State::Complete, text });
+            let item = format!("{job:016x}-{item:06}");
+            register.apply(&Command::List { job: id.clone(), item, state: State::Complete, text });
         }
     }
     register
@@ -101,12 +101,12 @@
     let taken = start.elapsed();
     let mut restore = RegisterRestore::default();
     let (mut encode, mut take) = (Vec::new(), Vec::new());
-    for number in 0..snapshot.pieces() {
+    for number in 0..snapshot.chunks() {
         let start = Instant::now();
-        let piece = snapshot.piece(number);
+        let chunk = snapshot.chunk(number);
         encode.push(start.elapsed());
         let start = Instant::now();
-        restore.take(&piece).expect("a piece of a snapshot");
+        restore.take(&chunk).expect("a piece of a snapshot");
         take.push(start.elapsed());
     }
     let start = Instant::now();
@@ -116,7 +116,7 @@
     println!(
         "{} bytes in {} pieces; snapshot {taken:?}, finish {finish:?}",
         snapshot.size(),
-        snapshot.pieces()
+        snapshot.chunks()
     );
     for (name, times) in [("encode", encode), ("restore", take)] {
         let sum: Duration = times.iter().sum();
--- a/crates/batch/src/command.rs
+++ b/crates/batch/src/command.rs
@@ -5,7 +5,7 @@
 
 use crate::text::{self, StoredText};
 use crate::wire::{self, Source};
-use crate::{DecodeError, OpenLot, ReportNumber};
+use crate::{DecodeError, OpenJob, ReportNumber};
 
 /// An item as it was handed in. Decoded, its body is a slice of the command.
 #[derive(Clone, Debug, PartialEq, DekuRead, DekuWrite)]
@@ -55,9 +55,9 @@
     Submit {
         #[deku(
             reader = "wire::read_text(deku::reader, source)",
-            writer = "wire::write_bytes(deku::writer, lot.as_bytes())"
+            writer = "wire::write_bytes(deku::writer, job.as_bytes())"
         )]
-        lot: String,
+        job: String,
         #[deku(
             reader = "wire::read_text(deku::reader, source)",
             writer = "wire::write_bytes(deku::writer, route.as_bytes())"
@@ -85,9 +85,9 @@
     List {
         #[deku(
             reader = "wire::read_text(deku::reader, source)",
-            writer = "wire::write_bytes(deku::writer, lot.as_bytes())"
+            writer = "wire::write_bytes(deku::writer, job.as_bytes())"
         )]
-        lot: String,
+        job: String,
         #[deku(
             reader = "wire::read_text(deku::reader, source)",
             writer = "wire::write_bytes(deku::writer, item.as_bytes())"
@@ -102,9 +102,9 @@
     End {
         #[deku(
             reader = "wire::read_text(deku::reader, source)",
-            writer = "wire::write_bytes(deku::writer, lot.as_bytes())"
+            writer = "wire::write_bytes(deku::writer, job.as_bytes())"
         )]
-        lot: String,
+        job: String,
         at: Time,
     },
     /// Forgets batch jobs sent before, where all is listed or ended; those sent first, and of many a bounded
@@ -122,10 +122,10 @@
         route: String,
         #[deku(
             reader = "wire::read_text(deku::reader, source)",
-            writer = "wire::write_bytes(deku::writer, lot.as_bytes())"
+            writer = "wire::write_bytes(deku::writer, job.as_bytes())"
         )]
-        lot: String,
-        part: u16,
+        job: String,
+        shard: u16,
         tokens: u64,
         most: u64,
         at: Time,
@@ -139,14 +139,14 @@
             writer = "wire::write_bytes(deku::writer, route.as_bytes())"
         )]
         route: String,
-        part: u16,
+        shard: u16,
         number: ReportNumber,
         at: Time,
         #[deku(
             reader = "wire::read_list(deku::reader, source)",
             writer = "wire::write_list(deku::writer, open)"
         )]
-        open: Vec<OpenLot>,
+        open: Vec<OpenJob>,
     },
 }
 
@@ -156,7 +156,7 @@
         let about = match self {
             Command::Submit { items, .. } => items.iter().map(|i| 512 + i.body.len()).sum(),
             Command::List { text, .. } => text.stored().len(),
-            Command::Settle { open, .. } => open.iter().map(|open| 16 + open.lot.len()).sum(),
+            Command::Settle { open, .. } => open.iter().map(|open| 16 + open.job.len()).sum(),
             Command::End { .. } | Command::Forget { .. } | Command::Reserve { .. } => 0,
         };
         wire::encode(self, 512 + about)
--- a/crates/batch/src/lot.rs
+++ b/crates/batch/src/job.rs
@@ -24,7 +24,7 @@
     ctx_default = "Endian::Little, Source::default()",
     endian = "little"
 )]
-pub(crate) struct LotHead {
+pub(crate) struct BatchJobHeader {
     #[deku(
         reader = "wire::read_shared_text(deku::reader, source)",
         writer = "wire::write_bytes(deku::writer, id.as_bytes())"
@@ -48,7 +48,7 @@
     pub max_tries: u32,
 }
 
-impl LotHead {
+impl BatchJobHeader {
     /// Bytes of its encoding.
     pub fn encoded_len(&self) -> usize {
         const NUMBERS: usize = 4 * size_of::<u64>() + size_of::<u32>();
@@ -133,8 +133,8 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Lot {
-    pub head: Arc<LotHead>,
+pub(crate) struct BatchJob {
+    pub head: Arc<BatchJobHeader>,
     is_ended: bool,
     items: Vec<Kept>,
     /// Where in `items` an item stands.
@@ -145,11 +145,11 @@
     sums: Sums,
 }
 
-impl Lot {
+impl BatchJob {
     /// One without items.
-    pub fn new(head: LotHead, is_ended: bool) -> Self {
+    pub fn new(head: BatchJobHeader, is_ended: bool) -> Self {
         let size = OVERHEAD + head.id.len() + head.route.len() + head.host.len();
-        Lot {
+        BatchJob {
             head: Arc::new(head),
             is_ended,
             items: Vec::new(),
@@ -162,16 +162,16 @@
     }
 
     /// One that is accepted with these items; nothing where one stands there twice.
-    pub fn accepted(head: LotHead, items: &[Item]) -> Option<Self> {
-        let mut lot = Lot::new(head, false);
-        lot.items.reserve_exact(items.len());
+    pub fn accepted(head: BatchJobHeader, items: &[Item]) -> Option<Self> {
+        let mut job = BatchJob::new(head, false);
+        job.items.reserve_exact(items.len());
         for item in items {
             let kept = Kept::open(item.clone());
             let encoded_len = kept.encoded_len();
-            lot.push_item(kept)?;
-            add_to_groups(&mut lot.item_groups, encoded_len, lot.head.id.len());
+            job.push_item(kept)?;
+            add_to_groups(&mut job.item_groups, encoded_len, job.head.id.len());
         }
-        Some(lot)
+        Some(job)
     }
 
     /// The items that a snapshot has as one group; nothing where they do not belong in this batch job or are
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -4,9 +4,9 @@
 //! of them. [`Schedule`] is its owner's alone: which item runs next. No I/O.
 
 mod command;
+mod job;
 mod json;
-mod ledger;
-mod lot;
+mod quota_ledger;
 mod register;
 mod restore;
 mod schedule;
@@ -16,12 +16,12 @@
 mod wire;
 
 pub use command::{Command, Item, State};
-pub use ledger::{Booked, Ledger, MOST_LOTS, OpenLot, RESERVATION_GRACE, ReportNumber};
 use quick_error::quick_error;
+pub use quota_ledger::{Booked, MAX_JOBS, OpenJob, QuotaLedger, RESERVATION_GRACE, ReportNumber};
 pub use register::{Applied, Register, Totals};
 pub use restore::RegisterRestore;
 pub use schedule::{MOST_OVERDUE, Next, RunEnd, Schedule};
-pub use snapshot::{PIECE_BYTES, RegisterSnapshot};
+pub use snapshot::{CHUNK_BYTES, RegisterSnapshot};
 pub use submission::read_requests;
 pub use text::{MOST_INFLATED, StoredText};
 
--- a/crates/batch/src/ledger.rs
+++ b/crates/batch/src/quota_ledger.rs
@@ -13,19 +13,19 @@
 /// A reservation that no report has named is released after this time: its batch job was never accepted.
 pub const RESERVATION_GRACE: Time = 30 * SECOND;
 /// Batch jobs that one route may have in its ledger.
-pub const MOST_LOTS: usize = 100_000;
+pub const MAX_JOBS: usize = 100_000;
 /// A route that has no entry is forgotten once its last report is so old.
 const FORGOTTEN_AFTER: Time = 600 * SECOND;
 
 /// A batch job and its tokens that still wait; none where it is finished, so that its reservation is released at once.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
-pub struct OpenLot {
+pub struct OpenJob {
     #[deku(
         reader = "wire::read_text(deku::reader, source)",
-        writer = "wire::write_bytes(deku::writer, lot.as_bytes())"
+        writer = "wire::write_bytes(deku::writer, job.as_bytes())"
     )]
-    pub lot: String,
+    pub job: String,
     pub tokens: u64,
 }
 
@@ -52,7 +52,7 @@
 
 /// Tokens by route. The same commands in the same order give the same ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ledger {
+pub struct QuotaLedger {
     /// The latest time of day that any command has named: it never goes backwards.
     clock: Time,
     routes: BTreeMap<String, Account>,
@@ -63,16 +63,16 @@
 struct Account {
     /// The sum of all entries. As `u128`, so that no sum of `u64` is too large.
     tokens: u128,
-    parts: BTreeMap<u16, PartAccount>,
+    shards: BTreeMap<u16, ShardAccount>,
 }
 
 /// A route's entries of the batch jobs of one part.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct PartAccount {
+struct ShardAccount {
     /// The newest report that was entered, and when.
     reported: ReportNumber,
     reported_at: Time,
-    lots: BTreeMap<String, Entry>,
+    jobs: BTreeMap<String, Entry>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,17 +83,17 @@
     is_reported: bool,
 }
 
-impl Ledger {
+impl QuotaLedger {
     /// Applies a command; nothing where it is none of the ledger's.
     pub fn apply(&mut self, command: &Command) -> Option<Booked> {
         match command {
-            Command::Reserve { route, lot, part, tokens, most, at } => {
+            Command::Reserve { route, job, shard, tokens, most, at } => {
                 self.advance(*at);
-                Some(self.reserve(route, lot, *part, *tokens, *most))
+                Some(self.reserve(route, job, *shard, *tokens, *most))
             }
-            Command::Settle { route, part, number, at, open } => {
+            Command::Settle { route, shard, number, at, open } => {
                 self.advance(*at);
-                Some(self.settle(route, *part, *number, open))
+                Some(self.settle(route, *shard, *number, open))
             }
             Command::Submit { .. } | Command::List { .. } | Command::End { .. } | Command::Forget { .. } => {
                 None
@@ -107,45 +107,45 @@
         self.routes.retain(|_, account| !account.is_forgotten(clock));
     }
 
-    fn reserve(&mut self, route: &str, lot: &str, part: u16, tokens: u64, most: u64) -> Booked {
-        if !self.has_room(route, lot, part, tokens, most) {
+    fn reserve(&mut self, route: &str, job: &str, shard: u16, tokens: u64, most: u64) -> Booked {
+        if !self.has_room(route, job, shard, tokens, most) {
             return Booked::Refused;
         }
         let account = self.routes.entry(route.to_owned()).or_default();
-        let lots = &mut account.parts.entry(part).or_default().lots;
-        let before = lots.get(lot).map_or(0, |entry| entry.tokens);
+        let jobs = &mut account.shards.entry(shard).or_default().jobs;
+        let before = jobs.get(job).map_or(0, |entry| entry.tokens);
         // The same batch job again keeps its tokens. Its grace begins anew: a report made before may not name it.
         let entry = Entry { tokens: tokens.max(before), reserved_at: self.clock, is_reported: false };
         account.tokens += u128::from(entry.tokens - before);
-        lots.insert(lot.to_owned(), entry);
+        jobs.insert(job.to_owned(), entry);
         Booked::Granted
     }
 
     /// Whether a reservation would be granted now. At most `most` tokens may wait (0: no limit); a batch job that is entered
     /// with as many tokens always has room.
-    pub fn has_room(&self, route: &str, lot: &str, part: u16, tokens: u64, most: u64) -> bool {
+    pub fn has_room(&self, route: &str, job: &str, shard: u16, tokens: u64, most: u64) -> bool {
         let Some(account) = self.routes.get(route) else {
             return most == 0 || tokens <= most;
         };
-        let entry = account.parts.get(&part).and_then(|part| part.lots.get(lot));
+        let entry = account.shards.get(&shard).and_then(|shard| shard.jobs.get(job));
         let more = tokens.saturating_sub(entry.map_or(0, |entry| entry.tokens));
         let fits = most == 0 || account.tokens + u128::from(more) <= u128::from(most);
         match entry {
             Some(_) => more == 0 || fits,
-            None => fits && account.lots() < MOST_LOTS,
+            None => fits && account.jobs() < MAX_JOBS,
         }
     }
 
-    fn settle(&mut self, route: &str, part: u16, number: ReportNumber, open: &[OpenLot]) -> Booked {
+    fn settle(&mut self, route: &str, shard: u16, number: ReportNumber, open: &[OpenJob]) -> Booked {
         let account = self.routes.entry(route.to_owned()).or_default();
-        let part = account.parts.entry(part).or_default();
-        if part.reported >= number {
+        let shard = account.shards.entry(shard).or_default();
+        if shard.reported >= number {
             return Booked::Stale;
         }
-        account.tokens -= part.tokens();
-        part.lots = part.settled(open, self.clock);
-        account.tokens += part.tokens();
-        (part.reported, part.reported_at) = (number, self.clock);
+        account.tokens -= shard.tokens();
+        shard.jobs = shard.settled(open, self.clock);
+        account.tokens += shard.tokens();
+        (shard.reported, shard.reported_at) = (number, self.clock);
         Booked::Settled
     }
 
@@ -153,16 +153,17 @@
     pub fn would_change(
         &self,
         route: &str,
-        part: u16,
+        shard: u16,
         number: ReportNumber,
-        open: &[OpenLot],
+        open: &[OpenJob],
         at: Time,
     ) -> bool {
-        let Some(part) = self.routes.get(route).and_then(|account| account.parts.get(&part)) else {
+        let Some(shard) = self.routes.get(route).and_then(|account| account.shards.get(&shard)) else {
             return !open.is_empty();
         };
         let clock = self.clock.max(at);
-        number.term > part.reported.term || number > part.reported && part.settled(open, clock) != part.lots
+        number.term > shard.reported.term
+            || number > shard.reported && shard.settled(open, clock) != shard.jobs
     }
 
     /// Tokens of a route that are reserved or wait.
@@ -188,72 +189,72 @@
         let image: Image =
             wire::decode(snapshot).map_err(|e| DecodeError::Malformed(format!("ledger: {e}")))?;
         let routes = image.routes.into_iter().map(|route| (route.route.clone(), Account::of(route)));
-        Ok(Ledger { clock: image.clock, routes: routes.collect() })
+        Ok(QuotaLedger { clock: image.clock, routes: routes.collect() })
     }
 }
 
 impl Account {
-    fn lots(&self) -> usize {
-        self.parts.values().map(|part| part.lots.len()).sum()
+    fn jobs(&self) -> usize {
+        self.shards.values().map(|shard| shard.jobs.len()).sum()
     }
 
     fn is_forgotten(&self, clock: Time) -> bool {
-        self.parts.values().all(|part| part.lots.is_empty() && clock - part.reported_at > FORGOTTEN_AFTER)
+        self.shards.values().all(|shard| shard.jobs.is_empty() && clock - shard.reported_at > FORGOTTEN_AFTER)
     }
 
     fn image(&self, route: &str) -> RouteImage {
-        let parts = self.parts.iter().map(|(part, account)| account.image(*part)).collect();
-        RouteImage { route: route.to_owned(), parts }
+        let shards = self.shards.iter().map(|(shard, account)| account.image(*shard)).collect();
+        RouteImage { route: route.to_owned(), shards }
     }
 
     fn of(image: RouteImage) -> Self {
-        let parts: BTreeMap<u16, PartAccount> =
-            image.parts.into_iter().map(|part| (part.part, PartAccount::of(part))).collect();
-        Account { tokens: parts.values().map(PartAccount::tokens).sum(), parts }
+        let shards: BTreeMap<u16, ShardAccount> =
+            image.shards.into_iter().map(|shard| (shard.shard, ShardAccount::of(shard))).collect();
+        Account { tokens: shards.values().map(ShardAccount::tokens).sum(), shards }
     }
 }
 
-impl PartAccount {
+impl ShardAccount {
     fn tokens(&self) -> u128 {
-        self.lots.values().map(|entry| u128::from(entry.tokens)).sum()
+        self.jobs.values().map(|entry| u128::from(entry.tokens)).sum()
     }
 
     /// The entries after a report: those that it names, and the reservations that it may not know of yet.
-    fn settled(&self, open: &[OpenLot], clock: Time) -> BTreeMap<String, Entry> {
+    fn settled(&self, open: &[OpenJob], clock: Time) -> BTreeMap<String, Entry> {
         let is_fresh = |entry: &Entry| !entry.is_reported && clock - entry.reserved_at < RESERVATION_GRACE;
-        let fresh = self.lots.iter().filter(|(_, entry)| is_fresh(entry));
-        let mut lots: BTreeMap<String, Entry> = fresh.map(|(lot, entry)| (lot.clone(), *entry)).collect();
-        for OpenLot { lot, tokens } in open {
+        let fresh = self.jobs.iter().filter(|(_, entry)| is_fresh(entry));
+        let mut jobs: BTreeMap<String, Entry> = fresh.map(|(job, entry)| (job.clone(), *entry)).collect();
+        for OpenJob { job, tokens } in open {
             if *tokens == 0 {
-                lots.remove(lot);
+                jobs.remove(job);
                 continue;
             }
-            let reserved_at = self.lots.get(lot).map_or(clock, |entry| entry.reserved_at);
-            lots.insert(lot.clone(), Entry { tokens: *tokens, reserved_at, is_reported: true });
+            let reserved_at = self.jobs.get(job).map_or(clock, |entry| entry.reserved_at);
+            jobs.insert(job.clone(), Entry { tokens: *tokens, reserved_at, is_reported: true });
         }
-        lots
+        jobs
     }
 
-    fn image(&self, part: u16) -> PartImage {
-        let lot = |(lot, entry): (&String, &Entry)| EntryImage {
-            lot: lot.clone(),
+    fn image(&self, shard: u16) -> ShardImage {
+        let job = |(job, entry): (&String, &Entry)| EntryImage {
+            job: job.clone(),
             tokens: entry.tokens,
             reserved_at: entry.reserved_at,
             is_reported: entry.is_reported,
         };
-        let lots = self.lots.iter().map(lot).collect();
-        PartImage { part, reported: self.reported, reported_at: self.reported_at, lots }
+        let jobs = self.jobs.iter().map(job).collect();
+        ShardImage { shard, reported: self.reported, reported_at: self.reported_at, jobs }
     }
 
-    fn of(image: PartImage) -> Self {
+    fn of(image: ShardImage) -> Self {
         let entry = |image: EntryImage| {
-            let EntryImage { lot, tokens, reserved_at, is_reported } = image;
-            (lot, Entry { tokens, reserved_at, is_reported })
+            let EntryImage { job, tokens, reserved_at, is_reported } = image;
+            (job, Entry { tokens, reserved_at, is_reported })
         };
-        PartAccount {
+        ShardAccount {
             reported: image.reported,
             reported_at: image.reported_at,
-            lots: image.lots.into_iter().map(entry).collect(),
+            jobs: image.jobs.into_iter().map(entry).collect(),
         }
     }
 }
@@ -280,22 +281,22 @@
     route: String,
     #[deku(
         reader = "wire::read_list(deku::reader, source)",
-        writer = "wire::write_list(deku::writer, parts)"
+        writer = "wire::write_list(deku::writer, shards)"
     )]
-    parts: Vec<PartImage>,
+    shards: Vec<ShardImage>,
 }
 
 #[derive(DekuRead, DekuWrite)]
 #[deku(ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
-struct PartImage {
-    part: u16,
+struct ShardImage {
+    shard: u16,
     reported: ReportNumber,
     reported_at: Time,
     #[deku(
         reader = "wire::read_list(deku::reader, source)",
-        writer = "wire::write_list(deku::writer, lots)"
+        writer = "wire::write_list(deku::writer, jobs)"
     )]
-    lots: Vec<EntryImage>,
+    jobs: Vec<EntryImage>,
 }
 
 #[derive(DekuRead, DekuWrite)]
@@ -303,9 +304,9 @@
 struct EntryImage {
     #[deku(
         reader = "wire::read_text(deku::reader, source)",
-        writer = "wire::write_bytes(deku::writer, lot.as_bytes())"
+        writer = "wire::write_bytes(deku::writer, job.as_bytes())"
     )]
-    lot: String,
+    job: String,
     tokens: u64,
     reserved_at: Time,
     is_reported: bool,
--- a/crates/batch/src/register.rs
+++ b/crates/batch/src/register.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use rainlug::Time;
 
-use crate::lot::{Lot, LotHead, Sums};
+use crate::job::{BatchJob, BatchJobHeader, Sums};
 use crate::{Command, RegisterSnapshot, State, StoredText, json};
 
 /// Bytes that a read's answer has at most, unless one output alone is longer.
@@ -62,7 +62,7 @@
 /// its bulk.
 #[derive(Default)]
 pub struct Register {
-    pub(crate) lots: BTreeMap<Arc<str>, Arc<Lot>>,
+    pub(crate) jobs: BTreeMap<Arc<str>, Arc<BatchJob>>,
     /// Batch jobs accepted so far.
     pub(crate) accepted: u64,
     /// Tokens by route, where any wait. As `u128`, so that no sum of `u64` is too large.
@@ -78,10 +78,10 @@
     pub fn apply(&mut self, command: &Command) -> Applied {
         match command {
             Command::Submit { .. } => self.submit(command).unwrap_or(Applied::Nothing),
-            Command::List { lot, item, state, text } => {
-                self.list(lot, item, *state, text).unwrap_or(Applied::Nothing)
+            Command::List { job, item, state, text } => {
+                self.list(job, item, *state, text).unwrap_or(Applied::Nothing)
             }
-            Command::End { lot, at: _ } => self.end(lot).unwrap_or(Applied::Nothing),
+            Command::End { job, at: _ } => self.end(job).unwrap_or(Applied::Nothing),
             // The ledger's.
             Command::Reserve { .. } | Command::Settle { .. } => Applied::Nothing,
             Command::Forget { before } => {
@@ -92,14 +92,14 @@
     }
 
     fn submit(&mut self, command: &Command) -> Option<Applied> {
-        let Command::Submit { lot: id, route, host, sent, due, retain, max_tries, most, items } = command
+        let Command::Submit { job: id, route, host, sent, due, retain, max_tries, most, items } = command
         else {
             return None;
         };
         if self.knows(id) {
             return Some(Applied::Known);
         }
-        let head = LotHead {
+        let head = BatchJobHeader {
             id: Arc::from(&**id),
             number: self.accepted,
             route: route.clone(),
@@ -109,12 +109,12 @@
             retain: *retain,
             max_tries: *max_tries,
         };
-        let lot = Lot::accepted(head, items)?;
+        let job = BatchJob::accepted(head, items)?;
         let waiting = self.waiting.get(route).copied().unwrap_or(0);
-        if *most > 0 && waiting + lot.sums().waiting > u128::from(*most) {
+        if *most > 0 && waiting + job.sums().waiting > u128::from(*most) {
             return Some(Applied::OverQuota);
         }
-        self.insert(lot);
+        self.insert(job);
         self.note_closed(id);
         self.accepted += 1;
         Some(Applied::Accepted)
@@ -122,14 +122,14 @@
 
     fn list(&mut self, id: &str, item: &str, state: State, text: &StoredText) -> Option<Applied> {
         let place = self.open_place(id, item)?;
-        let position = self.change(id, |lot| lot.list(place, state, text))??;
+        let position = self.change(id, |job| job.list(place, state, text))??;
         self.note_closed(id);
         Some(Applied::Listed { position })
     }
 
     fn end(&mut self, id: &str) -> Option<Applied> {
-        if !self.lots.get(id)?.is_ended() {
-            self.change(id, Lot::end)?;
+        if !self.jobs.get(id)?.is_ended() {
+            self.change(id, BatchJob::end)?;
             self.note_closed(id);
         }
         Some(Applied::Ended)
@@ -142,24 +142,24 @@
             && let Some((sent, _)) = self.closed.first()
             && *sent < before
             && let Some((_, id)) = self.closed.pop_first()
-            && let Some(lot) = self.lots.remove(&id)
+            && let Some(job) = self.jobs.remove(&id)
         {
-            items += lot.items().len().max(1);
-            self.subtract(&lot.head.route, lot.sums());
+            items += job.items().len().max(1);
+            self.subtract(&job.head.route, job.sums());
         }
     }
 
-    pub(crate) fn insert(&mut self, lot: Lot) {
-        self.add(&lot.head.route, lot.sums());
-        self.lots.insert(lot.head.id.clone(), Arc::new(lot));
+    pub(crate) fn insert(&mut self, job: BatchJob) {
+        self.add(&job.head.route, job.sums());
+        self.jobs.insert(job.head.id.clone(), Arc::new(job));
     }
 
     /// Changes a batch job and the sums with it.
-    pub(crate) fn change<T>(&mut self, id: &str, change: impl FnOnce(&mut Lot) -> T) -> Option<T> {
-        let lot = Arc::make_mut(self.lots.get_mut(id)?);
-        let (head, before) = (lot.head.clone(), lot.sums());
-        let changed = change(lot);
-        let after = lot.sums();
+    pub(crate) fn change<T>(&mut self, id: &str, change: impl FnOnce(&mut BatchJob) -> T) -> Option<T> {
+        let job = Arc::make_mut(self.jobs.get_mut(id)?);
+        let (head, before) = (job.head.clone(), job.sums());
+        let changed = change(job);
+        let after = job.sums();
         self.subtract(&head.route, before);
         self.add(&head.route, after);
         Some(changed)
@@ -189,42 +189,42 @@
     }
 
     fn note_closed(&mut self, id: &str) {
-        if let Some(lot) = self.lots.get(id).filter(|lot| lot.is_closed()) {
-            self.closed.insert((lot.head.sent, lot.head.id.clone()));
+        if let Some(job) = self.jobs.get(id).filter(|job| job.is_closed()) {
+            self.closed.insert((job.head.sent, job.head.id.clone()));
         }
     }
 
     /// Finds all of which nothing is to come. For a register that is restored.
     pub(crate) fn index_closed(&mut self) {
-        let closed = self.lots.values().filter(|lot| lot.is_closed());
-        self.closed = closed.map(|lot| (lot.head.sent, lot.head.id.clone())).collect();
+        let closed = self.jobs.values().filter(|job| job.is_closed());
+        self.closed = closed.map(|job| (job.head.sent, job.head.id.clone())).collect();
     }
 
     /// The place of an item that is still to be listed.
     fn open_place(&self, id: &str, item: &str) -> Option<usize> {
-        let lot = self.lots.get(id)?;
-        lot.place(item).filter(|place| lot.is_open(*place))
+        let job = self.jobs.get(id)?;
+        job.place(item).filter(|place| job.is_open(*place))
     }
 
     /// All of it as it is now; equal registers give equal pieces. The cost is in proportion to the batch
     /// jobs, not to their contents.
     pub fn snapshot(&self) -> RegisterSnapshot {
-        RegisterSnapshot::new(self.accepted, self.lots.values().cloned().collect())
+        RegisterSnapshot::new(self.accepted, self.jobs.values().cloned().collect())
     }
 
     /// The answer to a read from a position on (JSON, at most 1 MB of outputs, one at least); nothing where
     /// there is no such batch job. And whether it holds an output.
-    pub fn read(&self, lot: &str, since: u64) -> Option<(String, bool)> {
-        let lot = self.lots.get(lot)?;
-        let from = usize::try_from(since).unwrap_or(usize::MAX).min(lot.outputs().len());
+    pub fn read(&self, job: &str, since: u64) -> Option<(String, bool)> {
+        let job = self.jobs.get(job)?;
+        let from = usize::try_from(since).unwrap_or(usize::MAX).min(job.outputs().len());
         let mut outputs = String::new();
         let mut count: u64 = 0;
-        for output in &lot.outputs()[from..] {
+        for output in &job.outputs()[from..] {
             let had = outputs.len();
             if had + output.text.text_len() > MOST_READ && count > 0 {
                 break;
             }
-            let id = lot.items().get(output.place as usize).map_or("", |kept| &kept.id);
+            let id = job.items().get(output.place as usize).map_or("", |kept| &kept.id);
             outputs.push_str(if count > 0 { ",{\"id\":" } else { "{\"id\":" });
             json::put_text(&mut outputs, id);
             // Nothing else can be told of a text that is damaged; its checksum was right when it came.
@@ -244,32 +244,32 @@
             }
             count += 1;
         }
-        let total = lot.items().len();
+        let total = job.items().len();
         let next = since.saturating_add(count);
         let answer = format!("{{\"grand_total\":{total},\"next_token\":{next},\"outputs\":[{outputs}]}}");
         Some((answer, count > 0))
     }
 
     /// Whether a read from a position on holds an output; nothing where there is no such batch job.
-    pub fn has_output(&self, lot: &str, since: u64) -> Option<bool> {
-        self.lots.get(lot).map(|lot| since < lot.sums().totals.listed)
+    pub fn has_output(&self, job: &str, since: u64) -> Option<bool> {
+        self.jobs.get(job).map(|job| since < job.sums().totals.listed)
     }
 
     /// The text of an output as it is stored.
-    pub fn output(&self, lot: &str, position: u64) -> Option<&StoredText> {
-        let output = self.lots.get(lot)?.outputs().get(usize::try_from(position).ok()?)?;
+    pub fn output(&self, job: &str, position: u64) -> Option<&StoredText> {
+        let output = self.jobs.get(job)?.outputs().get(usize::try_from(position).ok()?)?;
         Some(&output.text)
     }
 
     /// The body of an item that is not listed yet; nothing once its batch job is ended.
-    pub fn body(&self, lot: &str, item: &str) -> Option<Bytes> {
-        let lot = self.lots.get(lot)?;
-        lot.body(lot.place(item)?)
+    pub fn body(&self, job: &str, item: &str) -> Option<Bytes> {
+        let job = self.jobs.get(job)?;
+        job.body(job.place(item)?)
     }
 
     /// Whether a batch job is accepted and not forgotten.
-    pub fn knows(&self, lot: &str) -> bool {
-        self.lots.contains_key(lot)
+    pub fn knows(&self, job: &str) -> bool {
+        self.jobs.contains_key(job)
     }
 
     /// Tokens that wait on a route: of items that are not listed, in batch jobs that are not ended.
@@ -288,19 +288,19 @@
     }
 
     /// The batch jobs that have items to be listed: route, id, and tokens that wait.
-    pub fn open_lots(&self) -> impl Iterator<Item = (&str, &str, u64)> {
-        self.lots.keys().filter_map(|id| self.open_lot(id).map(|(route, tokens)| (route, &**id, tokens)))
+    pub fn open_jobs(&self) -> impl Iterator<Item = (&str, &str, u64)> {
+        self.jobs.keys().filter_map(|id| self.open_job(id).map(|(route, tokens)| (route, &**id, tokens)))
     }
 
     /// The batch jobs sent since a time of which nothing is to come any more: route and id.
-    pub fn closed_lots_since(&self, sent: Time) -> impl Iterator<Item = (&str, &str)> {
+    pub fn closed_jobs_since(&self, sent: Time) -> impl Iterator<Item = (&str, &str)> {
         let closed = self.closed.iter().rev().take_while(move |(at, _)| *at >= sent);
-        closed.filter_map(|(_, id)| self.lots.get(id).map(|lot| (lot.head.route.as_str(), &**id)))
+        closed.filter_map(|(_, id)| self.jobs.get(id).map(|job| (job.head.route.as_str(), &**id)))
     }
 
     /// The route of a batch job that has items to be listed, and its tokens that wait.
-    pub fn open_lot(&self, lot: &str) -> Option<(&str, u64)> {
-        let lot = self.lots.get(lot).filter(|lot| !lot.is_closed())?;
-        Some((&lot.head.route, u64::try_from(lot.sums().waiting).unwrap_or(u64::MAX)))
+    pub fn open_job(&self, job: &str) -> Option<(&str, u64)> {
+        let job = self.jobs.get(job).filter(|job| !job.is_closed())?;
+        Some((&job.head.route, u64::try_from(job.sums().waiting).unwrap_or(u64::MAX)))
     }
 }
--- a/crates/batch/src/restore.rs
+++ b/crates/batch/src/restore.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 
-use crate::lot::{Kept, Lot, LotHead, Output};
-use crate::snapshot::{Header, ItemCode, Piece, Record, VERSION};
+use crate::job::{BatchJob, BatchJobHeader, Kept, Output};
+use crate::snapshot::{Chunk, Header, ItemCode, Record, VERSION};
 use crate::{DecodeError, Register, wire};
 
 /// Takes the pieces of a [`crate::RegisterSnapshot`] in their order. Bodies and texts stay slices of their
@@ -16,7 +16,7 @@
     register: Register,
     header: Option<Header>,
     /// Pieces taken.
-    pieces: u32,
+    chunks: u32,
     items: u64,
     outputs: u64,
 }
@@ -27,7 +27,7 @@
     #[default]
     Header,
     /// Batch jobs in their order, each with its items.
-    Lots,
+    BatchJobs,
     /// Outputs of the last batch job that had some, or of a later one.
     Outputs(Arc<str>),
     Failed,
@@ -38,20 +38,20 @@
     ///
     /// # Errors
     /// Where it is not the next piece of a snapshot.
-    pub fn take(&mut self, piece: &Bytes) -> Result<(), DecodeError> {
-        let taken = self.take_records(piece);
+    pub fn take(&mut self, chunk: &Bytes) -> Result<(), DecodeError> {
+        let taken = self.take_records(chunk);
         if taken.is_err() {
             self.stage = Stage::Failed;
         }
         taken
     }
 
-    fn take_records(&mut self, piece: &Bytes) -> Result<(), DecodeError> {
-        let Piece { number, records } = wire::decode(piece).map_err(|e| malformed(&e))?;
-        if number != self.pieces || self.header.is_some_and(|header| number >= header.pieces) {
-            return Err(malformed(&format!("piece {number}, not {}", self.pieces)));
+    fn take_records(&mut self, chunk: &Bytes) -> Result<(), DecodeError> {
+        let Chunk { number, records } = wire::decode(chunk).map_err(|e| malformed(&e))?;
+        if number != self.chunks || self.header.is_some_and(|header| number >= header.chunks) {
+            return Err(malformed(&format!("piece {number}, not {}", self.chunks)));
         }
-        self.pieces += 1;
+        self.chunks += 1;
         if records.is_empty() || number == 0 && records.len() > 1 {
             return Err(malformed(&format!("{} records in piece {number}", records.len())));
         }
@@ -61,9 +61,9 @@
     fn take_record(&mut self, record: Record) -> Result<(), DecodeError> {
         match record {
             Record::Header(header) => self.take_header(header),
-            Record::Lot { head, is_ended } => self.take_lot(head, is_ended),
-            Record::Items { lot, items } => self.take_items(&lot, items),
-            Record::Outputs { lot, outputs } => self.take_outputs(lot, outputs),
+            Record::BatchJob { head, is_ended } => self.take_job(head, is_ended),
+            Record::Items { job, items } => self.take_items(&job, items),
+            Record::Outputs { job, outputs } => self.take_outputs(job, outputs),
         }
     }
 
@@ -73,33 +73,33 @@
         }
         self.register.accepted = header.accepted;
         self.header = Some(header);
-        self.stage = Stage::Lots;
+        self.stage = Stage::BatchJobs;
         Ok(())
     }
 
-    fn take_lot(&mut self, head: LotHead, is_ended: bool) -> Result<(), DecodeError> {
-        let is_in_order = self.register.lots.last_key_value().is_none_or(|(last, _)| *last < head.id);
-        if !matches!(self.stage, Stage::Lots) || !is_in_order || head.number >= self.register.accepted {
+    fn take_job(&mut self, head: BatchJobHeader, is_ended: bool) -> Result<(), DecodeError> {
+        let is_in_order = self.register.jobs.last_key_value().is_none_or(|(last, _)| *last < head.id);
+        if !matches!(self.stage, Stage::BatchJobs) || !is_in_order || head.number >= self.register.accepted {
             return Err(malformed(&"a batch job that cannot be"));
         }
-        self.register.insert(Lot::new(head, is_ended));
+        self.register.insert(BatchJob::new(head, is_ended));
         Ok(())
     }
 
     fn take_items(&mut self, id: &str, items: Vec<ItemCode>) -> Result<(), DecodeError> {
-        let is_last = self.register.lots.last_key_value().is_some_and(|(last, _)| **last == *id);
-        if !matches!(self.stage, Stage::Lots) || !is_last {
+        let is_last = self.register.jobs.last_key_value().is_some_and(|(last, _)| **last == *id);
+        if !matches!(self.stage, Stage::BatchJobs) || !is_last {
             return Err(malformed(&"items without their batch job"));
         }
         self.items += items.len() as u64;
         let kept: Option<Vec<Kept>> = items.into_iter().map(ItemCode::into_kept).collect();
-        let restored = kept.and_then(|kept| self.register.change(id, |lot| lot.restore_items(kept))?);
+        let restored = kept.and_then(|kept| self.register.change(id, |job| job.restore_items(kept))?);
         restored.ok_or_else(|| malformed(&"items that cannot be"))
     }
 
     fn take_outputs(&mut self, id: Arc<str>, outputs: Vec<Output>) -> Result<(), DecodeError> {
         let is_in_order = match &self.stage {
-            Stage::Lots => true,
+            Stage::BatchJobs => true,
             Stage::Outputs(last) => *last <= id,
             Stage::Header | Stage::Failed => false,
         };
@@ -109,7 +109,7 @@
         self.outputs += outputs.len() as u64;
         let restored = self
             .register
-            .change(&id, |lot| outputs.into_iter().try_for_each(|output| lot.restore_output(output)));
+            .change(&id, |job| outputs.into_iter().try_for_each(|output| job.restore_output(output)));
         self.stage = Stage::Outputs(id);
         restored.flatten().ok_or_else(|| malformed(&"outputs that cannot be"))
     }
@@ -121,8 +121,8 @@
     pub fn finish(mut self) -> Result<Register, DecodeError> {
         let header = self.header.ok_or_else(|| malformed(&"no header"))?;
         let found = Header {
-            pieces: self.pieces,
-            lots: self.register.lots.len() as u64,
+            chunks: self.chunks,
+            jobs: self.register.jobs.len() as u64,
             items: self.items,
             outputs: self.outputs,
             ..header
@@ -130,7 +130,7 @@
         if matches!(self.stage, Stage::Failed) || found != header {
             return Err(malformed(&"pieces are missing"));
         }
-        if !self.register.lots.values().all(|lot| lot.is_whole()) {
+        if !self.register.jobs.values().all(|job| job.is_whole()) {
             return Err(malformed(&"an item that is neither open nor listed"));
         }
         self.register.index_closed();
--- a/crates/batch/src/schedule.rs
+++ b/crates/batch/src/schedule.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use rainlug::Time;
 
-use crate::lot::{Lot, LotHead};
+use crate::job::{BatchJob, BatchJobHeader};
 use crate::{Applied, Command, Item, Register, State, StoredText};
 
 /// Commands that one call of [`Schedule::overdue`] gives, at most: its caller proposes them all in one step.
@@ -15,7 +15,7 @@
 /// An item to run now.
 #[derive(Clone, Debug)]
 pub struct Next {
-    pub lot: String,
+    pub job: String,
     pub route: String,
     /// The `Host` that the batch job came with.
     pub host: String,
@@ -58,7 +58,7 @@
 pub struct Schedule {
     /// Batch jobs that the register had when the plan was begun and that are still to be planned, the one due first at the front.
     unplanned: VecDeque<Arc<str>>,
-    plans: BTreeMap<Arc<str>, LotPlan>,
+    plans: BTreeMap<Arc<str>, JobPlan>,
     ready: BTreeSet<Turn>,
     /// Runs that have not ended, by batch job and item, and when they began; also of items dropped since.
     running: BTreeMap<(String, String), Time>,
@@ -70,7 +70,7 @@
     retained: BTreeSet<(Time, Arc<str>)>,
 }
 
-struct LotPlan {
+struct JobPlan {
     number: u64,
     due: Time,
     retain: Time,
@@ -89,9 +89,9 @@
     is_proposed: bool,
 }
 
-impl LotPlan {
-    fn turn(&self, lot: &Arc<str>, place: usize) -> Turn {
-        (self.due, self.number, place, lot.clone())
+impl JobPlan {
+    fn turn(&self, job: &Arc<str>, place: usize) -> Turn {
+        (self.due, self.number, place, job.clone())
     }
 
     /// Places of items that no command lists yet.
@@ -104,11 +104,11 @@
     /// All that the register has still to list, with no event had. A large plan is made over the next calls, in the order in which
     /// items run.
     pub fn new(register: &Register, _now: Time) -> Self {
-        let mut open: Vec<&Lot> =
-            register.lots.values().map(|lot| &**lot).filter(|lot| !lot.is_closed()).collect();
-        open.sort_unstable_by_key(|lot| (lot.head.due, lot.head.number));
+        let mut open: Vec<&BatchJob> =
+            register.jobs.values().map(|job| &**job).filter(|job| !job.is_closed()).collect();
+        open.sort_unstable_by_key(|job| (job.head.due, job.head.number));
         let mut schedule = Schedule {
-            unplanned: open.into_iter().map(|lot| lot.head.id.clone()).collect(),
+            unplanned: open.into_iter().map(|job| job.head.id.clone()).collect(),
             plans: BTreeMap::new(),
             ready: BTreeSet::new(),
             running: BTreeMap::new(),
@@ -126,9 +126,9 @@
         while planned < MOST_PLANNED
             && let Some(id) = self.unplanned.pop_front()
         {
-            if let Some(lot) = register.lots.get(&id).filter(|_| !self.plans.contains_key(&id)) {
-                planned += lot.items().len().max(1);
-                self.add(lot);
+            if let Some(job) = register.jobs.get(&id).filter(|_| !self.plans.contains_key(&id)) {
+                planned += job.items().len().max(1);
+                self.add(job);
             }
         }
     }
@@ -136,21 +136,21 @@
     /// After a command was applied to the register.
     pub fn applied(&mut self, register: &Register, command: &Command, applied: Applied) {
         match command {
-            Command::Submit { lot, .. } => {
-                if let (Applied::Accepted, Some(lot)) = (applied, register.lots.get(&**lot)) {
-                    self.drop_lot(&lot.head.id);
-                    self.add(lot);
+            Command::Submit { job, .. } => {
+                if let (Applied::Accepted, Some(job)) = (applied, register.jobs.get(&**job)) {
+                    self.drop_job(&job.head.id);
+                    self.add(job);
                 }
             }
-            Command::List { lot, item, .. } => match register.lots.get(&**lot) {
+            Command::List { job, item, .. } => match register.jobs.get(&**job) {
                 Some(found) => {
                     if let Some(place) = found.place(item).filter(|place| !found.is_open(*place)) {
-                        self.drop_item(lot, place);
+                        self.drop_item(job, place);
                     }
                 }
-                None => self.drop_lot(lot),
+                None => self.drop_job(job),
             },
-            Command::End { lot, .. } => self.drop_lot(lot),
+            Command::End { job, .. } => self.drop_job(job),
             // What is forgotten was dropped when it was ended or listed.
             Command::Forget { .. } => {}
             // The ledger's.
@@ -158,31 +158,31 @@
         }
     }
 
-    fn add(&mut self, lot: &Lot) {
-        if lot.is_closed() {
+    fn add(&mut self, job: &BatchJob) {
+        if job.is_closed() {
             return;
         }
-        let id = lot.head.id.clone();
-        let items: BTreeMap<_, _> = (0..lot.items().len())
-            .filter(|place| lot.is_open(*place))
+        let id = job.head.id.clone();
+        let items: BTreeMap<_, _> = (0..job.items().len())
+            .filter(|place| job.is_open(*place))
             .map(|place| (place, ItemPlan::default()))
             .collect();
-        self.ready.extend(items.keys().map(|place| (lot.head.due, lot.head.number, *place, id.clone())));
-        self.retained.insert((lot.head.retain, id.clone()));
-        let LotHead { number, due, retain, max_tries, .. } = *lot.head;
-        self.plans.insert(id, LotPlan { number, due, retain, max_tries, items });
+        self.ready.extend(items.keys().map(|place| (job.head.due, job.head.number, *place, id.clone())));
+        self.retained.insert((job.head.retain, id.clone()));
+        let BatchJobHeader { number, due, retain, max_tries, .. } = *job.head;
+        self.plans.insert(id, JobPlan { number, due, retain, max_tries, items });
     }
 
-    fn drop_lot(&mut self, lot: &str) {
+    fn drop_job(&mut self, job: &str) {
         let places: Vec<_> =
-            self.plans.get(lot).into_iter().flat_map(|plan| plan.items.keys().copied()).collect();
-        places.into_iter().for_each(|place| self.drop_item(lot, place));
+            self.plans.get(job).into_iter().flat_map(|plan| plan.items.keys().copied()).collect();
+        places.into_iter().for_each(|place| self.drop_item(job, place));
     }
 
-    fn drop_item(&mut self, lot: &str, place: usize) {
-        let Some((id, _)) = self.plans.get_key_value(lot) else { return };
+    fn drop_item(&mut self, job: &str, place: usize) {
+        let Some((id, _)) = self.plans.get_key_value(job) else { return };
         let id = id.clone();
-        let Some(plan) = self.plans.get_mut(lot) else { return };
+        let Some(plan) = self.plans.get_mut(job) else { return };
         if plan.items.remove(&place).is_none() {
             return;
         }
@@ -191,7 +191,7 @@
         self.refused.remove(&turn);
         if plan.items.is_empty() {
             self.retained.remove(&(plan.retain, id));
-            self.plans.remove(lot);
+            self.plans.remove(job);
         }
     }
 
@@ -201,13 +201,13 @@
     pub fn next(&mut self, register: &Register, now: Time) -> Option<Next> {
         self.plan_more(register);
         let (due, _, place, id) = self.pop_in_time(now)?;
-        let lot = register.lots.get(&*id)?;
-        let item = Item::clone(lot.request(place)?);
+        let job = register.jobs.get(&*id)?;
+        let item = Item::clone(job.request(place)?);
         let last_event = self.plans.get(&id)?.items.get(&place)?.last_event;
         self.running.insert((id.to_string(), item.id.clone()), now);
-        let LotHead { route, host, retain, .. } = &*lot.head;
+        let BatchJobHeader { route, host, retain, .. } = &*job.head;
         let (route, host, until) = (route.clone(), host.clone(), *retain);
-        Some(Next { lot: id.to_string(), route, host, item, last_event, due, until })
+        Some(Next { job: id.to_string(), route, host, item, last_event, due, until })
     }
 
     /// Takes the first ready item that can be in time, or the first one whose time is not over; those before that one are dropped, and
@@ -234,18 +234,18 @@
         &mut self,
         register: &Register,
         now: Time,
-        lot: &str,
+        job: &str,
         item: &str,
         events: Vec<(u64, Bytes)>,
         end: RunEnd,
     ) -> Option<Command> {
-        let begun = self.running.remove(&(lot.to_owned(), item.to_owned()))?;
+        let begun = self.running.remove(&(job.to_owned(), item.to_owned()))?;
         if end == RunEnd::Complete {
             self.note_run_time((now - begun).max(0));
         }
-        let place = register.lots.get(lot)?.place(item)?;
-        let id = self.plans.get_key_value(lot)?.0.clone();
-        let plan = self.plans.get_mut(lot)?;
+        let place = register.jobs.get(job)?.place(item)?;
+        let id = self.plans.get_key_value(job)?.0.clone();
+        let plan = self.plans.get_mut(job)?;
         let turn = plan.turn(&id, place);
         let kept = plan.items.get_mut(&place)?;
         for (event, data) in events {
@@ -272,7 +272,7 @@
             State::Abandoned => StoredText::default(),
         };
         self.mark_proposed(&id, place);
-        Some(Command::List { lot: lot.to_owned(), item: item.to_owned(), state, text })
+        Some(Command::List { job: job.to_owned(), item: item.to_owned(), state, text })
     }
 
     fn note_run_time(&mut self, took: Time) {
@@ -283,9 +283,9 @@
 
     /// A command given to be proposed did not get into the log. `overdue` gives it again, unless a later one lists its item.
     pub fn refused(&mut self, register: &Register, command: Command) {
-        let Command::List { lot, item, .. } = &command else { return };
-        let Some(place) = register.lots.get(&**lot).and_then(|lot| lot.place(item)) else { return };
-        let Some((id, plan)) = self.plans.get_key_value(&**lot) else { return };
+        let Command::List { job, item, .. } = &command else { return };
+        let Some(place) = register.jobs.get(&**job).and_then(|job| job.place(item)) else { return };
+        let Some((id, plan)) = self.plans.get_key_value(&**job) else { return };
         if plan.items.contains_key(&place) {
             self.refused.insert(plan.turn(id, place), command);
         }
@@ -316,24 +316,24 @@
 
     /// Commands that abandon items of a batch job which none lists yet, so many at most.
     fn abandon(&mut self, register: &Register, id: &Arc<str>, most: usize) -> Vec<Command> {
-        let Some(lot) = register.lots.get(id) else { return Vec::new() };
+        let Some(job) = register.jobs.get(id) else { return Vec::new() };
         let Some(plan) = self.plans.get(id) else { return Vec::new() };
         let places: Vec<usize> = plan.unproposed().take(most).collect();
         places
             .into_iter()
             .filter_map(|place| {
-                let item = lot.items().get(place)?.id.to_string();
+                let item = job.items().get(place)?.id.to_string();
                 self.mark_proposed(id, place);
                 let (state, text) = (State::Abandoned, StoredText::default());
-                Some(Command::List { lot: id.to_string(), item, state, text })
+                Some(Command::List { job: id.to_string(), item, state, text })
             })
             .collect()
     }
 
     /// The item does not run again. What was refused before of it is not proposed again.
-    fn mark_proposed(&mut self, lot: &Arc<str>, place: usize) {
-        let Some(plan) = self.plans.get_mut(lot) else { return };
-        let turn = plan.turn(lot, place);
+    fn mark_proposed(&mut self, job: &Arc<str>, place: usize) {
+        let Some(plan) = self.plans.get_mut(job) else { return };
+        let turn = plan.turn(job, place);
         let Some(item) = plan.items.get_mut(&place) else { return };
         item.is_proposed = true;
         self.ready.remove(&turn);
--- a/crates/batch/src/snapshot.rs
+++ b/crates/batch/src/snapshot.rs
@@ -9,17 +9,17 @@
 use deku::prelude::*;
 
 use crate::Item;
-use crate::lot::{Group, Kept, Lot, LotHead, Output};
+use crate::job::{BatchJob, BatchJobHeader, Group, Kept, Output};
 use crate::wire::{self, COUNT, Source};
 
 /// A piece is no longer, unless it is one item or output alone.
-pub const PIECE_BYTES: usize = 64 << 10;
+pub const CHUNK_BYTES: usize = 64 << 10;
 
 /// Of this encoding.
 pub(crate) const VERSION: u16 = 1;
 
 /// Bytes of a piece besides its records: its number, and their count.
-const PIECE_HEAD: usize = 2 * COUNT;
+const CHUNK_HEADER: usize = 2 * COUNT;
 /// Bytes of a record's tag.
 const TAG: usize = 1;
 /// Bytes of [`Record::Header`].
@@ -27,7 +27,7 @@
 
 /// Bytes that items or outputs of a batch job may have together in one piece.
 pub(crate) fn run_room(id_len: usize) -> usize {
-    PIECE_BYTES.saturating_sub(PIECE_HEAD + run_head(id_len))
+    CHUNK_BYTES.saturating_sub(CHUNK_HEADER + run_head(id_len))
 }
 
 /// Bytes of [`Record::Items`] and of [`Record::Outputs`] besides what they list.
@@ -37,7 +37,7 @@
 
 #[derive(DekuRead, DekuWrite)]
 #[deku(ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
-pub(crate) struct Piece {
+pub(crate) struct Chunk {
     pub number: u32,
     #[deku(
         reader = "wire::read_list(deku::reader, source)",
@@ -51,10 +51,10 @@
 #[deku(ctx = "_endian: Endian", ctx_default = "Endian::Little", endian = "little")]
 pub(crate) struct Header {
     pub version: u16,
-    pub pieces: u32,
+    pub chunks: u32,
     /// Batch jobs accepted so far.
     pub accepted: u64,
-    pub lots: u64,
+    pub jobs: u64,
     pub items: u64,
     pub outputs: u64,
 }
@@ -65,9 +65,9 @@
     #[deku(id = 0)]
     Header(Header),
     #[deku(id = 1)]
-    Lot {
+    BatchJob {
         #[deku(ctx = "source")]
-        head: LotHead,
+        head: BatchJobHeader,
         is_ended: bool,
     },
     /// The next items of a batch job.
@@ -75,9 +75,9 @@
     Items {
         #[deku(
             reader = "wire::read_shared_text(deku::reader, source)",
-            writer = "wire::write_bytes(deku::writer, lot.as_bytes())"
+            writer = "wire::write_bytes(deku::writer, job.as_bytes())"
         )]
-        lot: Arc<str>,
+        job: Arc<str>,
         #[deku(
             reader = "wire::read_list(deku::reader, source)",
             writer = "wire::write_list(deku::writer, items)"
@@ -89,9 +89,9 @@
     Outputs {
         #[deku(
             reader = "wire::read_shared_text(deku::reader, source)",
-            writer = "wire::write_bytes(deku::writer, lot.as_bytes())"
+            writer = "wire::write_bytes(deku::writer, job.as_bytes())"
         )]
-        lot: Arc<str>,
+        job: Arc<str>,
         #[deku(
             reader = "wire::read_list(deku::reader, source)",
             writer = "wire::write_list(deku::writer, outputs)"
@@ -140,7 +140,7 @@
 /// What becomes one record.
 #[derive(Clone, Copy)]
 enum Unit {
-    Lot(usize),
+    BatchJob(usize),
     /// With the place of a group of items.
     Items(usize, usize),
     /// With the place of a group of outputs.
@@ -155,7 +155,7 @@
 struct Layout {
     header: Header,
     /// By id.
-    lots: Vec<Arc<Lot>>,
+    jobs: Vec<Arc<BatchJob>>,
     units: Vec<Unit>,
     /// The first unit of each piece behind the header's.
     starts: Vec<usize>,
@@ -164,41 +164,41 @@
 
 impl RegisterSnapshot {
     /// Its cost is in proportion to the batch jobs, not to their contents.
-    pub(crate) fn new(accepted: u64, lots: Vec<Arc<Lot>>) -> Self {
-        let units = units(&lots);
+    pub(crate) fn new(accepted: u64, jobs: Vec<Arc<BatchJob>>) -> Self {
+        let units = units(&jobs);
         let mut starts = Vec::new();
         let mut length = 0;
-        let mut size = PIECE_HEAD + HEADER;
+        let mut size = CHUNK_HEADER + HEADER;
         for (at, unit) in units.iter().enumerate() {
-            let record = encoded_len(&lots, *unit);
-            if starts.is_empty() || length + record > PIECE_BYTES {
+            let record = encoded_len(&jobs, *unit);
+            if starts.is_empty() || length + record > CHUNK_BYTES {
                 starts.push(at);
-                length = PIECE_HEAD;
-                size += PIECE_HEAD;
+                length = CHUNK_HEADER;
+                size += CHUNK_HEADER;
             }
             length += record;
             size += record;
         }
         let header = Header {
             version: VERSION,
-            pieces: u32::try_from(1 + starts.len()).unwrap_or(u32::MAX),
+            chunks: u32::try_from(1 + starts.len()).unwrap_or(u32::MAX),
             accepted,
-            lots: lots.len() as u64,
-            items: lots.iter().map(|lot| lot.items().len() as u64).sum(),
-            outputs: lots.iter().map(|lot| lot.outputs().len() as u64).sum(),
+            jobs: jobs.len() as u64,
+            items: jobs.iter().map(|job| job.items().len() as u64).sum(),
+            outputs: jobs.iter().map(|job| job.outputs().len() as u64).sum(),
         };
-        RegisterSnapshot(Arc::new(Layout { header, lots, units, starts, size: size as u64 }))
+        RegisterSnapshot(Arc::new(Layout { header, jobs, units, starts, size: size as u64 }))
     }
 
     /// One at least.
-    pub fn pieces(&self) -> usize {
+    pub fn chunks(&self) -> usize {
         1 + self.0.starts.len()
     }
 
     /// A piece, at most [`PIECE_BYTES`] long unless it is one item or output alone; empty where there is none
     /// of that number.
-    pub fn piece(&self, number: usize) -> Bytes {
-        if number >= self.pieces() {
+    pub fn chunk(&self, number: usize) -> Bytes {
+        if number >= self.chunks() {
             return Bytes::new();
         }
         let records = match number.checked_sub(1) {
@@ -210,7 +210,7 @@
             }
         };
         let number = u32::try_from(number).unwrap_or(u32::MAX);
-        wire::encode(&Piece { number, records }, PIECE_BYTES)
+        wire::encode(&Chunk { number, records }, CHUNK_BYTES)
     }
 
     /// Bytes of all pieces.
@@ -219,55 +219,55 @@
     }
 
     /// Batch jobs that two snapshots hold in common: one copy of them is in memory.
-    pub fn shared_lots(&self, other: &RegisterSnapshot) -> usize {
-        self.0.lots.iter().filter(|lot| other.holds(lot)).count()
+    pub fn shared_jobs(&self, other: &RegisterSnapshot) -> usize {
+        self.0.jobs.iter().filter(|job| other.holds(job)).count()
     }
 
-    fn holds(&self, lot: &Arc<Lot>) -> bool {
-        let found = self.0.lots.binary_search_by(|held| held.head.id.cmp(&lot.head.id));
-        found.is_ok_and(|at| Arc::ptr_eq(&self.0.lots[at], lot))
+    fn holds(&self, job: &Arc<BatchJob>) -> bool {
+        let found = self.0.jobs.binary_search_by(|held| held.head.id.cmp(&job.head.id));
+        found.is_ok_and(|at| Arc::ptr_eq(&self.0.jobs[at], job))
     }
 
     fn record(&self, unit: Unit) -> Record {
         match unit {
-            Unit::Lot(lot) => {
-                let lot = &self.0.lots[lot];
-                Record::Lot { head: (*lot.head).clone(), is_ended: lot.is_ended() }
+            Unit::BatchJob(job) => {
+                let job = &self.0.jobs[job];
+                Record::BatchJob { head: (*job.head).clone(), is_ended: job.is_ended() }
             }
-            Unit::Items(lot, group) => {
-                let lot = &self.0.lots[lot];
-                let items = &lot.items()[range(lot.item_groups(), group)];
-                Record::Items { lot: lot.head.id.clone(), items: items.iter().map(ItemCode::from).collect() }
+            Unit::Items(job, group) => {
+                let job = &self.0.jobs[job];
+                let items = &job.items()[range(job.item_groups(), group)];
+                Record::Items { job: job.head.id.clone(), items: items.iter().map(ItemCode::from).collect() }
             }
-            Unit::Outputs(lot, group) => {
-                let lot = &self.0.lots[lot];
-                let outputs = lot.outputs()[range(lot.output_groups(), group)].to_vec();
-                Record::Outputs { lot: lot.head.id.clone(), outputs }
+            Unit::Outputs(job, group) => {
+                let job = &self.0.jobs[job];
+                let outputs = job.outputs()[range(job.output_groups(), group)].to_vec();
+                Record::Outputs { job: job.head.id.clone(), outputs }
             }
         }
     }
 }
 
-fn units(lots: &[Arc<Lot>]) -> Vec<Unit> {
-    let mut units = Vec::with_capacity(3 * lots.len());
-    for (at, lot) in lots.iter().enumerate() {
-        units.push(Unit::Lot(at));
-        units.extend((0..lot.item_groups().len()).map(|group| Unit::Items(at, group)));
+fn units(jobs: &[Arc<BatchJob>]) -> Vec<Unit> {
+    let mut units = Vec::with_capacity(3 * jobs.len());
+    for (at, job) in jobs.iter().enumerate() {
+        units.push(Unit::BatchJob(at));
+        units.extend((0..job.item_groups().len()).map(|group| Unit::Items(at, group)));
     }
-    for (at, lot) in lots.iter().enumerate() {
-        units.extend((0..lot.output_groups().len()).map(|group| Unit::Outputs(at, group)));
+    for (at, job) in jobs.iter().enumerate() {
+        units.extend((0..job.output_groups().len()).map(|group| Unit::Outputs(at, group)));
     }
     units
 }
 
-fn encoded_len(lots: &[Arc<Lot>], unit: Unit) -> usize {
+fn encoded_len(jobs: &[Arc<BatchJob>], unit: Unit) -> usize {
     match unit {
-        Unit::Lot(lot) => TAG + lots[lot].head.encoded_len() + size_of::<bool>(),
-        Unit::Items(lot, group) => {
-            run_head(lots[lot].head.id.len()) + lots[lot].item_groups()[group].encoded_len
+        Unit::BatchJob(job) => TAG + jobs[job].head.encoded_len() + size_of::<bool>(),
+        Unit::Items(job, group) => {
+            run_head(jobs[job].head.id.len()) + jobs[job].item_groups()[group].encoded_len
         }
-        Unit::Outputs(lot, group) => {
-            run_head(lots[lot].head.id.len()) + lots[lot].output_groups()[group].encoded_len
+        Unit::Outputs(job, group) => {
+            run_head(jobs[job].head.id.len()) + jobs[job].output_groups()[group].encoded_len
         }
     }
 }
--- a/crates/batch/tests/common/mod.rs
+++ b/crates/batch/tests/common/mod.rs
@@ -35,13 +35,13 @@
 }
 
 /// With no limit, for items of 10 tokens each.
-pub fn submit(lot: &str, items: &[&str]) -> Command {
-    submit_within(lot, 0, DUE, items.iter().map(|id| item(id, 10)).collect())
+pub fn submit(job: &str, items: &[&str]) -> Command {
+    submit_within(job, 0, DUE, items.iter().map(|id| item(id, 10)).collect())
 }
 
-pub fn submit_within(lot: &str, most: u64, due: Time, items: Vec<Item>) -> Command {
+pub fn submit_within(job: &str, most: u64, due: Time, items: Vec<Item>) -> Command {
     Command::Submit {
-        lot: lot.into(),
+        job: job.into(),
         route: ROUTE.into(),
         host: "bulk.example".into(),
         sent: SECOND,
@@ -53,22 +53,22 @@
     }
 }
 
-pub fn list(lot: &str, item: &str, text: &str) -> Command {
+pub fn list(job: &str, item: &str, text: &str) -> Command {
     let text = StoredText::new(text.as_bytes());
-    Command::List { lot: lot.into(), item: item.into(), state: State::Complete, text }
+    Command::List { job: job.into(), item: item.into(), state: State::Complete, text }
 }
 
-pub fn abandon(lot: &str, item: &str) -> Command {
-    Command::List { lot: lot.into(), item: item.into(), state: State::Abandoned, text: StoredText::default() }
+pub fn abandon(job: &str, item: &str) -> Command {
+    Command::List { job: job.into(), item: item.into(), state: State::Abandoned, text: StoredText::default() }
 }
 
-pub fn end(lot: &str) -> Command {
-    Command::End { lot: lot.into(), at: 2 * SECOND }
+pub fn end(job: &str) -> Command {
+    Command::End { job: job.into(), at: 2 * SECOND }
 }
 
 /// What a read gives, and that it says rightly whether there is an output.
-pub fn read(register: &Register, lot: &str, since: u64) -> Option<Answer> {
-    let (json, has_output) = register.read(lot, since)?;
+pub fn read(register: &Register, job: &str, since: u64) -> Option<Answer> {
+    let (json, has_output) = register.read(job, since)?;
     assert!(!json.bytes().any(|byte| byte < b' '), "unescaped: {json:?}");
     let answer = Answer::deserialize_json(&json).unwrap_or_else(|e| panic!("{e}: {json}"));
     assert_eq!(has_output, !answer.outputs.is_empty());
@@ -77,13 +77,13 @@
 }
 
 /// All pieces of its snapshot.
-pub fn pieces(register: &Register) -> Vec<Bytes> {
+pub fn chunks(register: &Register) -> Vec<Bytes> {
     let snapshot = register.snapshot();
-    (0..snapshot.pieces()).map(|number| snapshot.piece(number)).collect()
+    (0..snapshot.chunks()).map(|number| snapshot.chunk(number)).collect()
 }
 
-pub fn restore(pieces: &[Bytes]) -> Result<Register, DecodeError> {
+pub fn restore(chunks: &[Bytes]) -> Result<Register, DecodeError> {
     let mut restore = RegisterRestore::default();
-    pieces.iter().try_for_each(|piece| restore.take(piece))?;
+    chunks.iter().try_for_each(|chunk| restore.take(chunk))?;
     restore.finish()
 }
--- a/crates/batch/tests/register.rs
+++ b/crates/batch/tests/register.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bytes::Bytes;
-use common::{ROUTE, abandon, end, item, list, pieces, read, restore, submit, submit_within};
+use common::{ROUTE, abandon, chunks, end, item, list, read, restore, submit, submit_within};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rainlug::SECOND;
@@ -113,7 +113,7 @@
 fn tokens_wait_until_listed_or_ended() {
     let mut register = Register::default();
     let mut take = |command: &Command| (register.apply(command), register.waiting(ROUTE));
-    let job = |lot, tokens| submit_within(lot, 100, common::DUE, vec![item("a", tokens), item("b", 10)]);
+    let job = |job, tokens| submit_within(job, 100, common::DUE, vec![item("a", tokens), item("b", 10)]);
     assert_eq!(take(&job("l", 50)), (Applied::Accepted, 60));
     assert_eq!(take(&job("m", 31)), (Applied::OverQuota, 60));
     assert_eq!(take(&job("m", 30)), (Applied::Accepted, 100));
@@ -135,7 +135,7 @@
     let job = submit_within("l", 9, common::DUE, vec![item("a", 10)]);
     assert_eq!(register.apply(&job), Applied::OverQuota);
     assert!(!register.knows("l"));
-    assert_eq!(pieces(&register), pieces(&Register::default()));
+    assert_eq!(chunks(&register), chunks(&Register::default()));
 }
 
 #[test]
@@ -151,7 +151,7 @@
         [submit("open", &["a"]), submit("listed", &["a"]), submit("ended", &["a"]), list("listed", "a", "")];
     let mut register = after(&commands);
     register.apply(&end("ended"));
-    let known = |register: &Register| ["open", "listed", "ended"].map(|lot| register.knows(lot));
+    let known = |register: &Register| ["open", "listed", "ended"].map(|job| register.knows(job));
     register.apply(&Command::Forget { before: SECOND });
     assert_eq!(known(&register), [true, true, true]);
     register.apply(&Command::Forget { before: SECOND + 1 });
@@ -221,12 +221,12 @@
     }
     register.apply(&older);
     register.apply(&end("older"));
-    let mut restored = restore(&pieces(&register)).unwrap();
+    let mut restored = restore(&chunks(&register)).unwrap();
     for register in [&mut register, &mut restored] {
         register.apply(&Command::Forget { before: 2 * SECOND });
         assert!(!register.knows("older") && !register.knows("00000") && register.knows("00099"));
     }
-    assert_eq!(pieces(&register), pieces(&restored));
+    assert_eq!(chunks(&register), chunks(&restored));
 }
 
 fn request(field: &str, value: &str) -> String {
@@ -325,18 +325,18 @@
     }
 }
 
-const LOTS: [&str; 4] = ["k", "l", "m", "n"];
+const JOBS: [&str; 4] = ["k", "l", "m", "n"];
 const ITEMS: [&str; 5] = ["a", "b", "c", "d", "e"];
 
 fn commands() -> impl Strategy<Value = Vec<Command>> {
-    let lot = prop::sample::select(&LOTS);
+    let job = prop::sample::select(&JOBS);
     let tokens = prop::collection::btree_map(prop::sample::select(&ITEMS), 0_u64..60, 1..5);
     let route = prop::sample::select(&["r", "s"]);
     let most = prop::sample::select(&[0, 50, 120]);
     let submit =
-        (lot.clone(), route, 0_i64..100, most, tokens).prop_map(|(lot, route, sent, most, tokens)| {
+        (job.clone(), route, 0_i64..100, most, tokens).prop_map(|(job, route, sent, most, tokens)| {
             Command::Submit {
-                lot: lot.to_owned(),
+                job: job.to_owned(),
                 route: route.to_owned(),
                 host: "h".into(),
                 sent,
@@ -347,15 +347,15 @@
                 items: tokens.into_iter().map(|(id, tokens)| item(id, tokens)).collect(),
             }
         });
-    let list = (lot.clone(), prop::sample::select(&ITEMS), any::<bool>(), any::<Vec<u8>>()).prop_map(
-        |(lot, item, is_complete, text)| Command::List {
-            lot: lot.to_owned(),
+    let list = (job.clone(), prop::sample::select(&ITEMS), any::<bool>(), any::<Vec<u8>>()).prop_map(
+        |(job, item, is_complete, text)| Command::List {
+            job: job.to_owned(),
             item: item.to_owned(),
             state: if is_complete { State::Complete } else { State::Abandoned },
             text: StoredText::new(&text),
         },
     );
-    let end = lot.prop_map(|lot| Command::End { lot: lot.to_owned(), at: 0 });
+    let end = job.prop_map(|job| Command::End { job: job.to_owned(), at: 0 });
     let forget = (0_i64..100).prop_map(|before| Command::Forget { before });
     prop::collection::vec(prop_oneof![4 => submit, 10 => list, 1 => end, 1 => forget], 0..60)
 }
@@ -385,8 +385,8 @@
 
 fn step(jobs: &mut BTreeMap<String, Job>, command: &Command) -> Applied {
     match command {
-        Command::Submit { lot, route, sent, most, items, .. } => {
-            if jobs.contains_key(lot) {
+        Command::Submit { job: id, route, sent, most, items, .. } => {
+            if jobs.contains_key(id) {
                 return Applied::Known;
             }
             let tokens: BTreeMap<_, _> = items.iter().map(|i| (i.id.clone(), i.token_count)).collect();
@@ -394,11 +394,11 @@
                 return Applied::OverQuota;
             }
             let job = Job { route: route.clone(), sent: *sent, tokens, ..Job::default() };
-            jobs.insert(lot.clone(), job);
+            jobs.insert(id.clone(), job);
             Applied::Accepted
         }
-        Command::List { lot, item, state, text } => {
-            let Some(job) = jobs.get_mut(lot) else { return Applied::Nothing };
+        Command::List { job: id, item, state, text } => {
+            let Some(job) = jobs.get_mut(id) else { return Applied::Nothing };
             if !job.open().any(|(id, _)| id == item) {
                 return Applied::Nothing;
             }
@@ -410,7 +410,7 @@
             ));
             Applied::Listed { position: job.listed.len() as u64 - 1 }
         }
-        Command::End { lot, .. } => match jobs.get_mut(lot) {
+        Command::End { job: id, .. } => match jobs.get_mut(id) {
             Some(job) => {
                 job.is_ended = true;
                 Applied::Ended
@@ -434,15 +434,15 @@
 
 /// All that can be asked of two registers is the same.
 fn assert_same(a: &Register, b: &Register) {
-    for lot in LOTS {
-        assert_eq!(a.knows(lot), b.knows(lot));
-        (0..6).for_each(|since| assert_eq!(a.read(lot, since), b.read(lot, since)));
-        ITEMS.iter().for_each(|item| assert_eq!(a.body(lot, item), b.body(lot, item)));
+    for job in JOBS {
+        assert_eq!(a.knows(job), b.knows(job));
+        (0..6).for_each(|since| assert_eq!(a.read(job, since), b.read(job, since)));
+        ITEMS.iter().for_each(|item| assert_eq!(a.body(job, item), b.body(job, item)));
     }
     ["r", "s"].iter().for_each(|route| assert_eq!(a.waiting(route), b.waiting(route)));
     assert_eq!(a.size(), b.size());
     assert_eq!(a.totals(), b.totals());
-    assert_eq!(pieces(a), pieces(b));
+    assert_eq!(chunks(a), chunks(b));
 }
 
 proptest! {
@@ -465,24 +465,24 @@
             for route in ["r", "s"] {
                 prop_assert_eq!(register.waiting(route), waiting(&jobs, route));
             }
-            for lot in LOTS {
-                let Some(job) = jobs.get(lot) else {
-                    prop_assert!(!register.knows(lot) && register.read(lot, 0).is_none());
+            for id in JOBS {
+                let Some(job) = jobs.get(id) else {
+                    prop_assert!(!register.knows(id) && register.read(id, 0).is_none());
                     continue;
                 };
-                let answer = read(&register, lot, 0).unwrap();
+                let answer = read(&register, id, 0).unwrap();
                 prop_assert_eq!(answer.grand_total, job.tokens.len() as u64);
                 let known: Vec<_> = job.listed.iter().map(|(id, state, text)| (&**id, word(*state), &**text)).collect();
                 let found: Vec<_> = answer.outputs.iter().map(|o| (&*o.id, &*o.state, &*o.prompt)).collect();
                 prop_assert_eq!(found, known);
                 for since in 0..6 {
-                    prop_assert_eq!(register.has_output(lot, since), Some(register.read(lot, since).unwrap().1));
+                    prop_assert_eq!(register.has_output(id, since), Some(register.read(id, since).unwrap().1));
                 }
                 let distinct: BTreeSet<_> = answer.outputs.iter().map(|o| &o.id).collect();
                 prop_assert_eq!(distinct.len(), answer.outputs.len());
                 for item in ITEMS {
-                    let body = job.open().any(|(id, _)| id == item).then(|| Bytes::from(format!("body of {item}")));
-                    prop_assert_eq!(register.body(lot, item), body);
+                    let body = job.open().any(|(open, _)| open == item).then(|| Bytes::from(format!("body of {item}")));
+                    prop_assert_eq!(register.body(id, item), body);
                 }
             }
         }
@@ -496,7 +496,7 @@
         prop_assert_eq!(&decoded, &commands);
         assert_same(&played, &after(&decoded));
         let cut = at.index(commands.len() + 1);
-        let mut restored = restore(&pieces(&after(&commands[..cut]))).unwrap();
+        let mut restored = restore(&chunks(&after(&commands[..cut]))).unwrap();
         for command in &commands[cut..] {
             restored.apply(command);
         }
@@ -509,12 +509,12 @@
         let mut seen: BTreeMap<&str, Vec<common::Output>> = BTreeMap::new();
         for command in &commands {
             register.apply(command);
-            for lot in LOTS {
-                let Some(answer) = read(&register, lot, 0) else {
-                    seen.remove(lot);
+            for job in JOBS {
+                let Some(answer) = read(&register, job, 0) else {
+                    seen.remove(job);
                     continue;
                 };
-                let had = seen.insert(lot, answer.outputs.clone()).unwrap_or_default();
+                let had = seen.insert(job, answer.outputs.clone()).unwrap_or_default();
                 prop_assert!(answer.outputs.starts_with(&had));
             }
         }
@@ -541,7 +541,7 @@
         let _ = Command::decode(&tagged);
         let _ = StoredText::from_stored(tagged).map(|text| text.text().is_ok());
         prop_assert!(restore(&[bytes.clone().into()]).is_err());
-        let header = pieces(&after(&[submit("l", &["a"])])).swap_remove(0);
+        let header = chunks(&after(&[submit("l", &["a"])])).swap_remove(0);
         // The number and count of a second piece before it.
         let second = Bytes::from([&[1, 0, 0, 0, 1, 0, 0, 0, tag], &bytes[..]].concat());
         prop_assert!(restore(&[header, second]).is_err());
@@ -550,7 +550,7 @@
     /// What a harmed snapshot gives, if it is taken, can be used.
     #[test]
     fn a_harmed_snapshot_does_no_harm(commands in commands(), more in commands(), at in any::<prop::sample::Index>(), flip in 1_u8..) {
-        let mut harmed = pieces(&after(&commands));
+        let mut harmed = chunks(&after(&commands));
         let which = at.index(harmed.len());
         let mut bytes = harmed[which].to_vec();
         let at = at.index(bytes.len());
@@ -560,8 +560,8 @@
             for command in &more {
                 register.apply(command);
             }
-            LOTS.iter().for_each(|lot| drop(register.read(lot, 0)));
-            prop_assert!(restore(&pieces(&register)).is_ok());
+            JOBS.iter().for_each(|job| drop(register.read(job, 0)));
+            prop_assert!(restore(&chunks(&register)).is_ok());
         }
         let mut bytes = more.first().map_or(Bytes::new(), Command::encode).to_vec();
         if !bytes.is_empty() {
--- a/crates/batch/tests/schedule.rs
+++ b/crates/batch/tests/schedule.rs
@@ -41,12 +41,12 @@
 
     /// The next ones as `lot/item`.
     fn take(&mut self, count: usize) -> Vec<String> {
-        (0..count).map_while(|_| self.next()).map(|next| format!("{}/{}", next.lot, next.item.id)).collect()
+        (0..count).map_while(|_| self.next()).map(|next| format!("{}/{}", next.job, next.item.id)).collect()
     }
 
-    fn ended(&mut self, lot: &str, item: &str, events: &[(u64, &str)], end: RunEnd) -> Option<Command> {
+    fn ended(&mut self, job: &str, item: &str, events: &[(u64, &str)], end: RunEnd) -> Option<Command> {
         let events = events.iter().map(|(id, data)| (*id, Bytes::copy_from_slice(data.as_bytes()))).collect();
-        self.schedule.ended(&self.register, self.now, lot, item, events, end)
+        self.schedule.ended(&self.register, self.now, job, item, events, end)
     }
 
     fn refused(&mut self, command: &Command) {
@@ -79,7 +79,7 @@
 fn a_next_one_tells_all_that_a_run_needs() {
     let mut owner = Owner::of(&[submit("l", &["a"])]);
     let next = owner.next().unwrap();
-    assert_eq!((&*next.lot, &*next.route, &*next.host), ("l", common::ROUTE, "bulk.example"));
+    assert_eq!((&*next.job, &*next.route, &*next.host), ("l", common::ROUTE, "bulk.example"));
     assert_eq!((next.last_event, next.due, next.until), (0, DUE, RETAIN));
     assert_eq!(next.item, item("a", 10));
 }
@@ -189,26 +189,26 @@
 #[test]
 fn items_whose_time_is_over_are_abandoned_once_each_and_not_all_in_one_step() {
     const { assert!(MOST_OVERDUE <= 256) };
-    const LOTS: usize = 8;
+    const JOBS: usize = 8;
     const ITEMS: usize = 100;
-    let submits: Vec<Command> = (0..LOTS)
-        .map(|lot| {
+    let submits: Vec<Command> = (0..JOBS)
+        .map(|job| {
             let items = (0..ITEMS).map(|number| item(&number.to_string(), 1)).collect();
-            submit_within(&format!("lot {lot}"), 0, DUE, items)
+            submit_within(&format!("lot {job}"), 0, DUE, items)
         })
         .collect();
     let mut owner = Owner::of(&submits);
     owner.now = RETAIN;
     let mut abandoned = Vec::new();
-    while abandoned.len() < LOTS * ITEMS {
+    while abandoned.len() < JOBS * ITEMS {
         let commands = owner.overdue();
-        assert_eq!(commands.len(), MOST_OVERDUE.min(LOTS * ITEMS - abandoned.len()));
+        assert_eq!(commands.len(), MOST_OVERDUE.min(JOBS * ITEMS - abandoned.len()));
         abandoned.extend(commands);
         owner.now += SECOND;
     }
     assert!(owner.overdue().is_empty());
     let distinct: BTreeSet<Vec<u8>> = abandoned.iter().map(|command| command.encode().to_vec()).collect();
-    assert_eq!(distinct.len(), LOTS * ITEMS);
+    assert_eq!(distinct.len(), JOBS * ITEMS);
     for command in &abandoned {
         assert!(matches!(owner.apply(command), Applied::Listed { .. }));
     }
@@ -239,7 +239,7 @@
     let mut owner = Owner::of(&[submit_within("over", 0, DUE, items), later]);
     owner.now = RETAIN;
     let found = (0..10).find_map(|_| owner.next()).unwrap();
-    assert_eq!((&*found.lot, &*found.item.id), ("later", "a"));
+    assert_eq!((&*found.job, &*found.item.id), ("later", "a"));
     assert_eq!(owner.counts(), (1, 0));
 }
 
@@ -332,29 +332,29 @@
 /// What is listed or ended before it is planned is not planned.
 #[test]
 fn a_large_plan_is_made_over_several_steps_in_the_order_of_running() {
-    const LOTS: usize = 30;
+    const JOBS: usize = 30;
     const ITEMS: usize = 200;
-    let lot = |number: usize| format!("lot {number}");
-    let submits: Vec<Command> = (0..LOTS)
+    let job = |number: usize| format!("lot {number}");
+    let submits: Vec<Command> = (0..JOBS)
         .map(|number| {
             let items = (0..ITEMS).map(|place| item(&place.to_string(), 1)).collect();
-            submit_within(&lot(number), 0, DUE - number as Time, items)
+            submit_within(&job(number), 0, DUE - number as Time, items)
         })
         .collect();
     let mut owner = Owner::of(&submits);
     owner.schedule = Schedule::new(&owner.register, owner.now);
-    assert!((1..LOTS * ITEMS / 4).contains(&owner.counts().1), "{:?}", owner.counts());
-    owner.apply(&list(&lot(0), "0", ""));
-    owner.apply(&end(&lot(1)));
+    assert!((1..JOBS * ITEMS / 4).contains(&owner.counts().1), "{:?}", owner.counts());
+    owner.apply(&list(&job(0), "0", ""));
+    owner.apply(&end(&job(1)));
     let late = submit_within("late", 0, DUE + SECOND, vec![item("a", 1)]);
     owner.apply(&late);
-    let mut expected: Vec<String> = (0..LOTS)
+    let mut expected: Vec<String> = (0..JOBS)
         .rev()
         .flat_map(|number| (0..ITEMS).map(move |place| format!("lot {number}/{place}")))
         .filter(|id| !id.starts_with("lot 1/") && id != "lot 0/0")
         .collect();
     expected.push("late/a".to_owned());
-    assert_eq!(owner.take(LOTS * ITEMS), expected);
+    assert_eq!(owner.take(JOBS * ITEMS), expected);
     assert_eq!(owner.counts(), (expected.len(), 0));
 }
 
@@ -398,8 +398,8 @@
         let mut failed: BTreeMap<(String, String), u32> = BTreeMap::new();
         let mut never: BTreeSet<(String, String)> = BTreeSet::new();
         let is_early = |command: &Command, failed: &BTreeMap<_, u32>, never: &BTreeSet<_>, now| match command {
-            Command::List { lot, item, state: rainlug_batch::State::Abandoned, .. } => {
-                let key = (lot.clone(), item.clone());
+            Command::List { job, item, state: rainlug_batch::State::Abandoned, .. } => {
+                let key = (job.clone(), item.clone());
                 now < RETAIN && failed.get(&key).is_none_or(|count| *count < 3) && !never.contains(&key)
             }
             _ => false,
@@ -410,7 +410,7 @@
             match what {
                 0 | 1 => {
                     if let Some(next) = owner.next() {
-                        prop_assert!(!running.iter().any(|run| run.lot == next.lot && run.item.id == next.item.id));
+                        prop_assert!(!running.iter().any(|run| run.job == next.job && run.item.id == next.item.id));
                         running.push(next);
                     }
                 }
@@ -423,7 +423,7 @@
                 }
                 _ if !running.is_empty() => {
                     let run = running.swap_remove(which.index(running.len()));
-                    let key = (run.lot.clone(), run.item.id.clone());
+                    let key = (run.job.clone(), run.item.id.clone());
                     let (to, end) = match what {
                         4 => (EVENTS, RunEnd::Complete),
                         5 => {
@@ -437,7 +437,7 @@
                         _ => (EVENTS.min(run.last_event + count), RunEnd::Again),
                     };
                     let events: Vec<_> = (run.last_event + 1..=to).map(|id| (id, Bytes::from(format!("event {id}")))).collect();
-                    proposed.extend(owner.schedule.ended(&owner.register, owner.now, &run.lot, &run.item.id, events, end));
+                    proposed.extend(owner.schedule.ended(&owner.register, owner.now, &run.job, &run.item.id, events, end));
                 }
                 _ => {}
             }
--- a/crates/batch/tests/snapshot.rs
+++ b/crates/batch/tests/snapshot.rs
@@ -6,10 +6,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use bytes::Bytes;
-use common::{DUE, abandon, end, item, list, pieces, read, restore, submit, submit_within};
+use common::{DUE, abandon, chunks, end, item, list, read, restore, submit, submit_within};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rainlug_batch::{Applied, Command, Item, PIECE_BYTES, Register, RegisterRestore, State, StoredText};
+use rainlug_batch::{Applied, CHUNK_BYTES, Command, Item, Register, RegisterRestore, State, StoredText};
 
 fn after(commands: &[Command]) -> Register {
     let mut register = Register::default();
@@ -20,9 +20,9 @@
 }
 
 /// An output of so many bytes, stored plain.
-fn list_plain(lot: &str, item: &str, length: usize) -> Command {
+fn list_plain(job: &str, item: &str, length: usize) -> Command {
     let text = StoredText::plain(&vec![b'x'; length]);
-    Command::List { lot: lot.into(), item: item.into(), state: State::Complete, text }
+    Command::List { job: job.into(), item: item.into(), state: State::Complete, text }
 }
 
 fn item_with_body(id: &str, length: usize) -> Item {
@@ -30,13 +30,13 @@
 }
 
 /// Three batch jobs with bodies and outputs for several pieces.
-fn several_pieces() -> Register {
+fn several_chunks() -> Register {
     let mut register = Register::default();
-    for lot in ["k", "l", "m"] {
-        let items = (0..20).map(|id| item_with_body(&format!("{lot}{id}"), 10_000)).collect();
-        register.apply(&submit_within(lot, 0, DUE, items));
+    for job in ["k", "l", "m"] {
+        let items = (0..20).map(|id| item_with_body(&format!("{job}{id}"), 10_000)).collect();
+        register.apply(&submit_within(job, 0, DUE, items));
         for id in 0..10 {
-            register.apply(&list_plain(lot, &format!("{lot}{id}"), 20_000));
+            register.apply(&list_plain(job, &format!("{job}{id}"), 20_000));
         }
     }
     register.apply(&end("m"));
@@ -70,90 +70,90 @@
 #[test]
 fn an_empty_register_is_a_header() {
     let register = Register::default();
-    assert_eq!(register.snapshot().pieces(), 1);
-    assert_eq!(register.snapshot().piece(1), Bytes::new());
-    assert_eq!(pieces(&restore(&pieces(&register)).unwrap()), pieces(&register));
+    assert_eq!(register.snapshot().chunks(), 1);
+    assert_eq!(register.snapshot().chunk(1), Bytes::new());
+    assert_eq!(chunks(&restore(&chunks(&register)).unwrap()), chunks(&register));
 }
 
 #[test]
 fn small_batch_jobs_share_a_piece() {
-    let lots: Vec<Command> = (0..50).map(|lot| submit(&format!("{lot}"), &["a", "b"])).collect();
-    assert_eq!(after(&lots).snapshot().pieces(), 2);
+    let jobs: Vec<Command> = (0..50).map(|job| submit(&format!("{job}"), &["a", "b"])).collect();
+    assert_eq!(after(&jobs).snapshot().chunks(), 2);
 }
 
 #[test]
 fn only_what_is_alone_in_a_piece_is_over_the_bound() {
-    let mut register = several_pieces();
+    let mut register = several_chunks();
     let items = vec![item_with_body("a", 100_000), item("b", 1), item_with_body("c", 70_000), item("d", 1)];
     register.apply(&submit_within("long", 0, DUE, items));
-    let bodies = pieces(&register).iter().filter(|piece| piece.len() > PIECE_BYTES).count();
+    let bodies = chunks(&register).iter().filter(|chunk| chunk.len() > CHUNK_BYTES).count();
     assert_eq!(bodies, 2);
     register.apply(&list_plain("long", "a", 100));
     register.apply(&list_plain("long", "c", 300_000));
     register.apply(&list_plain("long", "d", 100));
-    let lengths: Vec<usize> = pieces(&register).iter().map(Bytes::len).collect();
-    let over: Vec<usize> = lengths.iter().copied().filter(|length| *length > PIECE_BYTES).collect();
+    let lengths: Vec<usize> = chunks(&register).iter().map(Bytes::len).collect();
+    let over: Vec<usize> = lengths.iter().copied().filter(|length| *length > CHUNK_BYTES).collect();
     assert_eq!(over.len(), 1, "{lengths:?}");
     // The output, and the heads round it.
     assert!((300_000..300_100).contains(&over[0]), "{over:?}");
-    assert_eq!(pieces(&restore(&pieces(&register)).unwrap()), pieces(&register));
+    assert_eq!(chunks(&restore(&chunks(&register)).unwrap()), chunks(&register));
 }
 
 #[test]
 fn a_piece_may_be_as_long_as_the_bound_to_the_byte() {
     // Heads of the piece and its record (18), then of two outputs (10 each) and their texts.
-    let half = (PIECE_BYTES - 18) / 2 - 10;
+    let half = (CHUNK_BYTES - 18) / 2 - 10;
     let outputs_with = |second: usize| {
         let texts = [list_plain("l", "a", half), list_plain("l", "b", second)];
         let register = after(&[&[submit("l", &["a", "b"])], &texts[..]].concat());
-        pieces(&register).iter().map(Bytes::len).collect::<Vec<_>>()
+        chunks(&register).iter().map(Bytes::len).collect::<Vec<_>>()
     };
-    assert_eq!(outputs_with(half)[2..], [PIECE_BYTES]);
+    assert_eq!(outputs_with(half)[2..], [CHUNK_BYTES]);
     // The first output has room behind the batch job's head then.
-    assert!(outputs_with(half + 1)[1..].iter().all(|length| *length < PIECE_BYTES));
+    assert!(outputs_with(half + 1)[1..].iter().all(|length| *length < CHUNK_BYTES));
     // Records of two batch jobs, to the byte.
     let records_with = |second: usize| {
         let commands = [submit("l", &["a"]), submit("m", &["a"]), list_plain("l", "a", half)];
         let register = after(&[&commands[..], &[list_plain("m", "a", second)]].concat());
-        pieces(&register).iter().map(Bytes::len).collect::<Vec<_>>()
+        chunks(&register).iter().map(Bytes::len).collect::<Vec<_>>()
     };
-    let room = PIECE_BYTES - records_with(0)[1];
-    assert_eq!(records_with(room)[1..], [PIECE_BYTES]);
+    let room = CHUNK_BYTES - records_with(0)[1];
+    assert_eq!(records_with(room)[1..], [CHUNK_BYTES]);
     assert_eq!(records_with(room + 1).len(), 3);
 }
 
 #[test]
 fn pieces_are_about_as_long_as_they_may_be() {
-    let register = several_pieces();
-    let lengths: Vec<usize> = pieces(&register).iter().map(Bytes::len).collect();
+    let register = several_chunks();
+    let lengths: Vec<usize> = chunks(&register).iter().map(Bytes::len).collect();
     let total: usize = lengths.iter().sum();
     assert_eq!(register.snapshot().size(), total as u64);
-    assert!(total > 600_000 && lengths.len() <= 2 + 2 * total / PIECE_BYTES, "{lengths:?}");
+    assert!(total > 600_000 && lengths.len() <= 2 + 2 * total / CHUNK_BYTES, "{lengths:?}");
 }
 
 #[test]
 fn a_snapshot_never_changes() {
-    let mut register = several_pieces();
-    let (snapshot, old) = (register.snapshot(), pieces(&register));
+    let mut register = several_chunks();
+    let (snapshot, old) = (register.snapshot(), chunks(&register));
     register.apply(&list_plain("k", "k15", 500));
     register.apply(&end("l"));
     register.apply(&submit("n", &["a"]));
     register.apply(&Command::Forget { before: DUE });
-    let encoded: Vec<Bytes> = (0..snapshot.pieces()).map(|number| snapshot.clone().piece(number)).collect();
+    let encoded: Vec<Bytes> = (0..snapshot.chunks()).map(|number| snapshot.clone().chunk(number)).collect();
     assert_eq!(encoded, old);
-    assert_ne!(pieces(&register), old);
+    assert_ne!(chunks(&register), old);
 }
 
 #[test]
 fn an_output_touches_no_other() {
-    let mut register = several_pieces();
+    let mut register = several_chunks();
     let before = register.snapshot();
     let text = |register: &Register, position| register.output("k", position).unwrap().stored().as_ptr();
     let texts: Vec<_> = (0..10).map(|position| text(&register, position)).collect();
     let body = register.body("k", "k16").unwrap().as_ptr();
-    assert_eq!(register.snapshot().shared_lots(&before), 3);
+    assert_eq!(register.snapshot().shared_jobs(&before), 3);
     assert_eq!(register.apply(&list_plain("k", "k15", 500)), Applied::Listed { position: 10 });
-    assert_eq!(register.snapshot().shared_lots(&before), 2);
+    assert_eq!(register.snapshot().shared_jobs(&before), 2);
     // Nor are the bytes of its own batch job copied.
     assert!((0..10).map(|position| text(&register, position)).eq(texts));
     assert_eq!(register.body("k", "k16").unwrap().as_ptr(), body);
@@ -161,12 +161,12 @@
 
 #[test]
 fn what_changes_nothing_copies_nothing() {
-    let mut register = several_pieces();
+    let mut register = several_chunks();
     let before = register.snapshot();
     for command in [list("k", "k0", "again"), list("k", "x", ""), end("m"), submit("k", &["a"]), end("x")] {
         register.apply(&command);
     }
-    assert_eq!(register.snapshot().shared_lots(&before), 3);
+    assert_eq!(register.snapshot().shared_jobs(&before), 3);
 }
 
 #[test]
@@ -214,9 +214,9 @@
 
 #[test]
 fn what_is_restored_stays_in_its_pieces_until_it_is_freed() {
-    let (pieces, freed): (Vec<Bytes>, Vec<_>) = pieces(&several_pieces()).into_iter().map(counted).unzip();
-    let mut register = restore(&pieces).unwrap();
-    drop(pieces);
+    let (chunks, freed): (Vec<Bytes>, Vec<_>) = chunks(&several_chunks()).into_iter().map(counted).unzip();
+    let mut register = restore(&chunks).unwrap();
+    drop(chunks);
     let held = || freed.iter().filter(|freed| freed.load(Ordering::SeqCst) == 0).count();
     let all = held();
     assert!(all > 10);
@@ -232,7 +232,7 @@
 
 #[test]
 fn a_piece_that_is_cut_or_longer_is_refused() {
-    let whole = pieces(&after(&[submit("l", &["a", "b"]), list("l", "a", "text"), submit("m", &["c"])]));
+    let whole = chunks(&after(&[submit("l", &["a", "b"]), list("l", "a", "text"), submit("m", &["c"])]));
     for which in 0..whole.len() {
         let mut harmed = whole.clone();
         for cut in 0..whole[which].len() {
@@ -247,7 +247,7 @@
 
 #[test]
 fn pieces_are_taken_in_their_order_and_all_of_them() {
-    let whole = pieces(&several_pieces());
+    let whole = chunks(&several_chunks());
     for which in 0..whole.len() {
         let mut missing = whole.clone();
         missing.remove(which);
@@ -266,11 +266,11 @@
 
 #[test]
 fn nothing_is_taken_after_an_error() {
-    let whole = pieces(&several_pieces());
+    let whole = chunks(&several_chunks());
     let mut restore = RegisterRestore::default();
     restore.take(&whole[0]).unwrap();
     assert!(restore.take(&whole[2]).is_err());
-    assert!(whole[1..].iter().all(|piece| restore.take(piece).is_err()));
+    assert!(whole[1..].iter().all(|chunk| restore.take(chunk).is_err()));
     assert!(restore.finish().is_err());
 }
 
@@ -282,7 +282,7 @@
     let is_stored = |bytes: &[u8]| bytes.windows(stored.stored().len()).position(|at| at == stored.stored());
     let encoded = command.encode();
     let start = is_stored(&encoded).unwrap();
-    let whole = pieces(&after(&[submit("l", &["a"]), command.clone()]));
+    let whole = chunks(&after(&[submit("l", &["a"]), command.clone()]));
     let place = is_stored(&whole[1]).unwrap();
     for at in 0..stored.stored().len() {
         let harm = |bytes: &Bytes, at: usize| {
@@ -295,42 +295,42 @@
     }
 }
 
-const LOTS: [&str; 4] = ["k", "l", "m", "n"];
+const JOBS: [&str; 4] = ["k", "l", "m", "n"];
 const ITEMS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
 /// With bodies and texts from none to more than a piece.
 fn commands() -> impl Strategy<Value = Vec<Command>> {
     let length = prop_oneof![5 => 0_usize..100, 5 => 100_usize..30_000, 1 => 30_000_usize..100_000];
-    let lot = prop::sample::select(&LOTS);
+    let job = prop::sample::select(&JOBS);
     let bodies = prop::collection::btree_map(prop::sample::select(&ITEMS), length.clone(), 0..6);
-    let submit = (lot.clone(), 0_i64..100, bodies).prop_map(|(lot, at, bodies)| {
+    let submit = (job.clone(), 0_i64..100, bodies).prop_map(|(job, at, bodies)| {
         let items = bodies.into_iter().map(|(id, length)| item_with_body(id, length)).collect();
-        let mut command = submit_within(lot, 0, DUE, items);
+        let mut command = submit_within(job, 0, DUE, items);
         if let Command::Submit { sent, .. } = &mut command {
             *sent = at;
         }
         command
     });
-    let list = (lot.clone(), prop::sample::select(&ITEMS), length, any::<bool>()).prop_map(
-        |(lot, item, length, is_plain)| match is_plain {
-            true => list_plain(lot, item, length),
-            false => list(lot, item, &"text ".repeat(length / 5)),
+    let list = (job.clone(), prop::sample::select(&ITEMS), length, any::<bool>()).prop_map(
+        |(job, item, length, is_plain)| match is_plain {
+            true => list_plain(job, item, length),
+            false => list(job, item, &"text ".repeat(length / 5)),
         },
     );
-    let end = lot.prop_map(end);
+    let end = job.prop_map(end);
     let forget = (0_i64..100).prop_map(|before| Command::Forget { before });
     prop::collection::vec(prop_oneof![4 => submit, 12 => list, 1 => end, 1 => forget], 0..60)
 }
 
 fn assert_same(a: &Register, b: &Register) {
-    for lot in LOTS {
-        assert_eq!(a.knows(lot), b.knows(lot));
-        (0..8).for_each(|since| assert_eq!(a.read(lot, since), b.read(lot, since)));
-        ITEMS.iter().for_each(|item| assert_eq!(a.body(lot, item), b.body(lot, item)));
+    for job in JOBS {
+        assert_eq!(a.knows(job), b.knows(job));
+        (0..8).for_each(|since| assert_eq!(a.read(job, since), b.read(job, since)));
+        ITEMS.iter().for_each(|item| assert_eq!(a.body(job, item), b.body(job, item)));
     }
     assert_eq!(a.waiting(common::ROUTE), b.waiting(common::ROUTE));
     assert_eq!((a.size(), a.totals()), (b.size(), b.totals()));
-    assert_eq!(pieces(a), pieces(b));
+    assert_eq!(chunks(a), chunks(b));
 }
 
 proptest! {
@@ -342,14 +342,14 @@
     fn a_restored_copy_is_the_same(commands in commands(), at in any::<prop::sample::Index>()) {
         let cut = at.index(commands.len() + 1);
         let mut played = after(&commands[..cut]);
-        let (snapshot, old) = (played.snapshot(), pieces(&played));
+        let (snapshot, old) = (played.snapshot(), chunks(&played));
         let mut restored = restore(&old).unwrap();
         assert_same(&played, &restored);
         for command in &commands[cut..] {
             prop_assert_eq!(played.apply(command), restored.apply(command));
         }
         assert_same(&played, &restored);
-        let encoded: Vec<Bytes> = (0..snapshot.pieces()).map(|number| snapshot.piece(number)).collect();
+        let encoded: Vec<Bytes> = (0..snapshot.chunks()).map(|number| snapshot.chunk(number)).collect();
         prop_assert_eq!(encoded, old);
     }
 
@@ -357,13 +357,13 @@
     #[test]
     fn no_piece_is_over_the_bound_but_one_alone(commands in commands()) {
         let register = after(&commands);
-        let pieces = pieces(&register);
-        prop_assert_eq!(register.snapshot().size(), pieces.iter().map(|piece| piece.len() as u64).sum::<u64>());
-        for piece in pieces.iter().filter(|piece| piece.len() > PIECE_BYTES) {
-            let count = |at: usize| u32::from_le_bytes(piece[at..at + 4].try_into().unwrap());
+        let chunks = chunks(&register);
+        prop_assert_eq!(register.snapshot().size(), chunks.iter().map(|chunk| chunk.len() as u64).sum::<u64>());
+        for chunk in chunks.iter().filter(|chunk| chunk.len() > CHUNK_BYTES) {
+            let count = |at: usize| u32::from_le_bytes(chunk[at..at + 4].try_into().unwrap());
             // Number, records, tag, length of the id, id, items or outputs.
             prop_assert_eq!(count(4), 1);
-            prop_assert!([2, 3].contains(&piece[8]));
+            prop_assert!([2, 3].contains(&chunk[8]));
             let id = count(9) as usize;
             prop_assert_eq!(count(13 + id), 1);
         }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -18,8 +18,8 @@
 pub use quorum::Quorums;
 pub use rainlug::Time;
 pub use records::Records;
-pub use replica::{MOST_HANDED_BYTES, MOST_HANDED_ENTRIES, Replica};
-pub use state::{Restore, StateSource, WholeState};
+pub use replica::{MAX_APPLY_BYTES, MAX_APPLY_ENTRIES, Replica};
+pub use state::{InMemoryState, Restore, SnapshotSource};
 
 /// A disk's identity, drawn when it is first used.
 pub type MemberId = u64;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 
-use crate::state::StateSource;
+use crate::state::SnapshotSource;
 use crate::wire::read_group;
 use crate::{Index, Member, Term};
 
@@ -52,7 +52,7 @@
 pub struct Source {
     /// No two states that a replica sends in one life have the same: pieces of one are never taken for another's.
     pub number: u64,
-    pub state: Arc<dyn StateSource>,
+    pub state: Arc<dyn SnapshotSource>,
 }
 
 /// An entry in memory.
--- a/crates/consensus/src/quorum.rs
+++ b/crates/consensus/src/quorum.rs
@@ -56,8 +56,8 @@
 }
 
 /// The figure that `count` of them have reached; the least there is where they are fewer.
-pub fn nth_greatest<T: Ord + Default + Copy>(figures: impl Iterator<Item = T>, count: usize) -> T {
-    let mut figures: Vec<T> = figures.collect();
-    figures.sort_unstable_by(|a, b| b.cmp(a));
-    figures.get(count.saturating_sub(1)).copied().unwrap_or_default()
+pub fn nth_greatest<T: Ord + Default + Copy>(positions: impl Iterator<Item = T>, count: usize) -> T {
+    let mut positions: Vec<T> = positions.collect();
+    positions.sort_unstable_by(|a, b| b.cmp(a));
+    positions.get(count.saturating_sub(1)).copied().unwrap_or_default()
 }
--- a/crates/consensus/src/records.rs
+++ b/crates/consensus/src/records.rs
@@ -6,40 +6,42 @@
 use bytes::Bytes;
 
 use crate::log::Entry;
-use crate::state::StateSource;
+use crate::state::SnapshotSource;
 use crate::{Index, wire};
 
 /// The pieces of a snapshot's state, as records.
 #[derive(Clone)]
-pub(crate) enum PieceRecords {
+pub(crate) enum ChunkRecords {
     /// Encoded from the state of this process.
-    Encoded(Arc<dyn StateSource>),
+    Encoded(Arc<dyn SnapshotSource>),
     /// As they came from a leader.
     Received(Arc<[Bytes]>),
 }
 
-impl PieceRecords {
+impl ChunkRecords {
     pub(crate) fn count(&self) -> usize {
         match self {
-            PieceRecords::Encoded(state) => state.pieces(),
-            PieceRecords::Received(records) => records.len(),
+            ChunkRecords::Encoded(state) => state.chunks(),
+            ChunkRecords::Received(records) => records.len(),
         }
     }
 
     fn record(&self, number: usize) -> Option<Bytes> {
         match self {
-            PieceRecords::Encoded(state) if number < state.pieces() => {
-                Some(wire::piece_record(number, &state.piece(number)))
+            ChunkRecords::Encoded(state) if number < state.chunks() => {
+                Some(wire::chunk_record(number, &state.chunk(number)))
             }
-            PieceRecords::Encoded(_) => None,
-            PieceRecords::Received(records) => records.get(number).cloned(),
+            ChunkRecords::Encoded(_) => None,
+            ChunkRecords::Received(records) => records.get(number).cloned(),
         }
     }
 
     fn size(&self) -> u64 {
         match self {
-            PieceRecords::Encoded(state) => state.size() + (state.pieces() * wire::PIECE_RECORD_HEAD) as u64,
-            PieceRecords::Received(records) => records.iter().map(|record| record.len() as u64).sum(),
+            ChunkRecords::Encoded(state) => {
+                state.size() + (state.chunks() * wire::CHUNK_RECORD_HEADER) as u64
+            }
+            ChunkRecords::Received(records) => records.iter().map(|record| record.len() as u64).sum(),
         }
     }
 }
@@ -49,7 +51,7 @@
 #[derive(Clone)]
 pub struct Records {
     pub(crate) snapshot: Bytes,
-    pub(crate) pieces: PieceRecords,
+    pub(crate) chunks: ChunkRecords,
     pub(crate) hard_state: Bytes,
     pub(crate) first: Index,
     /// From `first` on.
@@ -62,7 +64,7 @@
 impl Records {
     /// How many there are.
     pub fn count(&self) -> usize {
-        2 + self.pieces.count() + self.entries.len() + self.last_records().count()
+        2 + self.chunks.count() + self.entries.len() + self.last_records().count()
     }
 
     /// What follows the entries.
@@ -72,13 +74,13 @@
 
     /// How many of the first stand for the snapshot: its head and its pieces.
     pub fn snapshot_count(&self) -> usize {
-        1 + self.pieces.count()
+        1 + self.chunks.count()
     }
 
     /// A record, encoded now; none behind the last one.
     pub fn record(&self, number: usize) -> Option<Bytes> {
         let Some(place) = number.checked_sub(1) else { return Some(self.snapshot.clone()) };
-        let Some(place) = place.checked_sub(self.pieces.count()) else { return self.pieces.record(place) };
+        let Some(place) = place.checked_sub(self.chunks.count()) else { return self.chunks.record(place) };
         let Some(place) = place.checked_sub(1) else { return Some(self.hard_state.clone()) };
         match self.entries.get(place) {
             Some(entry) => Some(wire::entry_record(self.first + place as u64, entry)),
@@ -97,7 +99,7 @@
             self.entries.iter().map(|entry| wire::ENTRY_RECORD_HEAD + entry.data.len()).sum();
         let last: usize = self.last_records().map(Bytes::len).sum();
         let others = self.snapshot.len() + self.hard_state.len() + last;
-        self.pieces.size() + (entries + others) as u64
+        self.chunks.size() + (entries + others) as u64
     }
 }
 
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -18,10 +18,10 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-pub use self::handing_out::{MOST_HANDED_BYTES, MOST_HANDED_ENTRIES};
+pub use self::handing_out::{MAX_APPLY_BYTES, MAX_APPLY_ENTRIES};
 use crate::log::{Kind, Log, Snapshot, Source};
-use crate::records::PieceRecords;
-use crate::state::{Restore, StateSource};
+use crate::records::ChunkRecords;
+use crate::state::{Restore, SnapshotSource};
 use crate::{Index, Member, MemberId, Output, Refused, Settings, Term, Time, wire};
 
 /// Messages with entries on their way to one follower, at most.
@@ -108,7 +108,7 @@
     index: Index,
     /// Which of the leader's states it is.
     source: u64,
-    pieces: u32,
+    chunks: u32,
     /// The records of the pieces so far: the bytes that came, which the state machine has been handed too.
     records: Vec<Bytes>,
 }
@@ -127,7 +127,7 @@
 pub struct Replica {
     me: Member,
     settings: Settings,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     /// Of the newest call.
     now: Time,
     role: Role,
@@ -177,7 +177,7 @@
     heartbeat_due: Time,
     quorum_due: Time,
     /// Everyone gets a message at the next `take`.
-    beat: bool,
+    broadcast_pending: bool,
     round: u64,
     round_wanted: bool,
     reads: Vec<Read>,
@@ -192,12 +192,12 @@
     /// A member with nothing saved. `founding` is the first group, the same for all its members; empty for one that waits to be
     /// taken in.
     pub fn new(me: Member, founding: Vec<Member>, settings: Settings, seed: u64, now: Time) -> Self {
-        let chance = ChaCha8Rng::seed_from_u64(seed ^ me.id.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let rng = ChaCha8Rng::seed_from_u64(seed ^ me.id.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let snapshot = Snapshot { index: 0, term: 0, group: founding.clone(), state: None };
         let mut replica = Self {
             me,
             settings,
-            chance,
+            rng,
             now,
             role: Role::Follower,
             leader: None,
@@ -229,7 +229,7 @@
             first: 0,
             heartbeat_due: now,
             quorum_due: now,
-            beat: false,
+            broadcast_pending: false,
             round: 0,
             round_wanted: false,
             reads: vec![],
@@ -261,7 +261,7 @@
         if self.role == Role::Leader {
             if self.now >= self.heartbeat_due {
                 self.heartbeat_due = self.now + self.settings.heartbeat.max(1);
-                self.beat = true;
+                self.broadcast_pending = true;
                 for progress in self.progress.values_mut() {
                     match &mut progress.flow {
                         Flow::Probe { asked } => *asked = false,
@@ -373,7 +373,7 @@
     }
 
     /// The state machine's whole state as of all that was taken so far. Entries up to there are dropped.
-    pub fn snapshot(&mut self, now: Time, state: Arc<dyn StateSource>) {
+    pub fn snapshot(&mut self, now: Time, state: Arc<dyn SnapshotSource>) {
         self.wake(now);
         self.compact_asked = false;
         if !self.restoring.is_empty() {
@@ -393,7 +393,7 @@
         let group = self.log.group_at(index).after.clone();
         self.weight = 0;
         self.snapshot = Arc::new(Snapshot { index, term, group, state: source });
-        self.rewrite(PieceRecords::Encoded(state), true);
+        self.rewrite(ChunkRecords::Encoded(state), true);
     }
 
     /// The snapshot that was asked for does not pay now; it is asked for again after as many bytes.
@@ -409,7 +409,7 @@
         if self.role == Role::Leader {
             if std::mem::take(&mut self.round_wanted) {
                 self.round += 1;
-                self.beat = true;
+                self.broadcast_pending = true;
             }
             self.flush();
         }
--- a/crates/consensus/src/replica/election.rs
+++ b/crates/consensus/src/replica/election.rs
@@ -32,7 +32,7 @@
 
     pub(super) fn draw(&mut self, least: Time) -> Time {
         let least = least.max(1);
-        self.now + self.chance.random_range(least..2 * least)
+        self.now + self.rng.random_range(least..2 * least)
     }
     pub(super) fn restart_timer(&mut self) {
         self.deadline = self.draw(self.settings.election);
@@ -92,7 +92,7 @@
         self.progress = self.others().into_iter().map(new).collect();
         self.heartbeat_due = self.now + self.settings.heartbeat.max(1);
         self.quorum_due = self.now + self.settings.election;
-        self.beat = true;
+        self.broadcast_pending = true;
         self.append(Kind::Noop, Bytes::new());
     }
     pub(super) fn step_down(&mut self) {
@@ -103,7 +103,7 @@
         self.leader = None;
         self.progress.clear();
         self.votes.clear();
-        self.beat = false;
+        self.broadcast_pending = false;
         self.round_wanted = false;
         let refused = self.not_leader();
         self.output.reads.extend(self.reads.drain(..).map(|read| (read.ticket, Err(refused.clone()))));
--- a/crates/consensus/src/replica/entries.rs
+++ b/crates/consensus/src/replica/entries.rs
@@ -2,7 +2,7 @@
 
 use super::{Replica, Role};
 use crate::log::{Entry, Kind, Snapshot};
-use crate::records::{PieceRecords, Records};
+use crate::records::{ChunkRecords, Records};
 use crate::wire::{self, Body};
 use crate::{Index, Member, Rewrite, Term};
 use bytes::Bytes;
@@ -39,13 +39,13 @@
         }
     }
     /// All records anew: the snapshot with these pieces, and what follows it.
-    pub(super) fn rewrite(&mut self, pieces: PieceRecords, is_implied: bool) {
+    pub(super) fn rewrite(&mut self, chunks: ChunkRecords, is_implied: bool) {
         let Snapshot { index, term, ref group, .. } = *self.snapshot;
         let settled = (self.settled > index).then(|| wire::settled_record(self.settled));
         let floor = (self.vote_floor > (0, 0)).then_some(self.vote_floor);
         let records = Records {
-            snapshot: wire::snapshot_record(index, term, group, pieces.count()),
-            pieces,
+            snapshot: wire::snapshot_record(index, term, group, chunks.count()),
+            chunks,
             hard_state: wire::hard_state_record(self.term, self.voted),
             first: index + 1,
             entries: (index + 1..=self.log.last()).filter_map(|at| self.log.get(at).cloned()).collect(),
@@ -94,7 +94,7 @@
             return;
         }
         // Who leaves learns of it now or never.
-        self.beat = true;
+        self.broadcast_pending = true;
         self.flush();
         let members = &self.log.group().after;
         self.progress.retain(|id, _| members.iter().any(|member| member.id == *id));
--- a/crates/consensus/src/replica/handing_out.rs
+++ b/crates/consensus/src/replica/handing_out.rs
@@ -5,9 +5,9 @@
 use crate::state::Restore;
 
 /// Bytes of commands and pieces that one [`Replica::take`] hands out, at most; one that is longer goes alone.
-pub const MOST_HANDED_BYTES: usize = 256 << 10;
+pub const MAX_APPLY_BYTES: usize = 256 << 10;
 /// Entries and steps of restoring that one [`Replica::take`] hands out, at most.
-pub const MOST_HANDED_ENTRIES: usize = 256;
+pub const MAX_APPLY_ENTRIES: usize = 256;
 
 /// What was handed out in one `take`.
 #[derive(Default)]
@@ -19,7 +19,7 @@
 impl Handed {
     /// Whether so many bytes more may go; they are counted then.
     fn add(&mut self, bytes: usize) -> bool {
-        let has_room = self.entries < MOST_HANDED_ENTRIES && self.bytes + bytes <= MOST_HANDED_BYTES;
+        let has_room = self.entries < MAX_APPLY_ENTRIES && self.bytes + bytes <= MAX_APPLY_BYTES;
         let may_go = self.entries == 0 || has_room;
         if may_go {
             self.entries += 1;
--- a/crates/consensus/src/replica/install.rs
+++ b/crates/consensus/src/replica/install.rs
@@ -7,26 +7,26 @@
 
 use super::{Incoming, Replica};
 use crate::log::{Log, Snapshot};
-use crate::records::PieceRecords;
+use crate::records::ChunkRecords;
 use crate::state::Restore;
-use crate::wire::{Body, PIECE_RECORD_HEAD};
+use crate::wire::{Body, CHUNK_RECORD_HEADER};
 use crate::{Index, Member, Term};
 
 /// A piece of a leader's snapshot, and which snapshot it is.
-pub(super) struct SnapshotPiece {
+pub(super) struct SnapshotChunk {
     pub index: Index,
     pub term: Term,
     pub group: Vec<Member>,
     pub source: u64,
-    pub pieces: u32,
+    pub chunks: u32,
     pub number: u32,
     /// None where the state is empty.
     pub record: Option<Bytes>,
 }
 
 impl Replica {
-    pub(super) fn install_requested(&mut self, from: &Member, round: u64, piece: SnapshotPiece) {
-        let SnapshotPiece { index, term, source, .. } = piece;
+    pub(super) fn install_requested(&mut self, from: &Member, round: u64, chunk: SnapshotChunk) {
+        let SnapshotChunk { index, term, source, .. } = chunk;
         if index > self.commit && self.log.term(index) == Some(term) {
             self.commit_to(index);
         }
@@ -36,36 +36,36 @@
             self.hold(self.hard_ticket, from, self.appended(round, matched));
             return;
         }
-        let mut incoming = self.incoming_of(from, &piece);
-        if let Some(record) = piece.record
-            && piece.number as usize == incoming.records.len()
+        let mut incoming = self.incoming_of(from, &chunk);
+        if let Some(record) = chunk.record
+            && chunk.number as usize == incoming.records.len()
         {
-            self.restoring.push_back(Restore::Piece(record.slice(PIECE_RECORD_HEAD..)));
+            self.restoring.push_back(Restore::Chunk(record.slice(CHUNK_RECORD_HEADER..)));
             incoming.records.push(record);
         }
         let wanted = u32::try_from(incoming.records.len()).unwrap_or(u32::MAX);
-        if wanted < incoming.pieces {
+        if wanted < incoming.chunks {
             self.incoming = Some(incoming);
             self.hold(self.hard_ticket, from, Body::SnapshotWanted { round, source, wanted });
             return;
         }
-        self.install((index, term), piece.group, incoming.records);
+        self.install((index, term), chunk.group, incoming.records);
         self.hold(self.ticket, from, self.appended(round, index));
     }
 
     /// The transfer that a piece belongs to; a new one where it is none of the one under way.
-    fn incoming_of(&mut self, from: &Member, piece: &SnapshotPiece) -> Incoming {
-        let SnapshotPiece { index, source, pieces, .. } = *piece;
+    fn incoming_of(&mut self, from: &Member, chunk: &SnapshotChunk) -> Incoming {
+        let SnapshotChunk { index, source, chunks, .. } = *chunk;
         let same = |incoming: &Incoming| {
-            (incoming.leader, incoming.term, incoming.index, incoming.source, incoming.pieces)
-                == (from.id, self.term, index, source, pieces)
+            (incoming.leader, incoming.term, incoming.index, incoming.source, incoming.chunks)
+                == (from.id, self.term, index, source, chunks)
         };
         if let Some(incoming) = self.incoming.take_if(|incoming| same(incoming)) {
             return incoming;
         }
         self.incoming = None;
         self.begin_restore();
-        Incoming { leader: from.id, term: self.term, index, source, pieces, records: vec![] }
+        Incoming { leader: from.id, term: self.term, index, source, chunks, records: vec![] }
     }
 
     /// All pieces have come.
@@ -81,6 +81,6 @@
         self.commit = index;
         self.applied = index;
         self.restoring.push_back(Restore::Finish(index));
-        self.rewrite(PieceRecords::Received(records.into()), false);
+        self.rewrite(ChunkRecords::Received(records.into()), false);
     }
 }
--- a/crates/consensus/src/replica/receiving.rs
+++ b/crates/consensus/src/replica/receiving.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 
-use super::install::SnapshotPiece;
+use super::install::SnapshotChunk;
 use super::{Flow, PATIENCE_FACTOR, Progress, Replica, Role};
 use crate::wire::{self, Body};
 use crate::{DecodeError, Index, Member, Term, Time};
@@ -26,7 +26,7 @@
         if message.to != self.me.id || message.from.id == self.me.id {
             return Ok(());
         }
-        let wire::Message { from, term, body, entries, group, piece, .. } = message;
+        let wire::Message { from, term, body, entries, group, chunk, .. } = message;
         if let Body::RequestVote { pre, for_term, last_index, last_term } = body {
             self.vote_requested(&from, pre != 0, term, for_term, (last_term, last_index));
             return Ok(());
@@ -45,11 +45,11 @@
                     self.append_requested(&from, round, (prev_index, prev_term), commit, entries);
                 }
             }
-            Body::InstallSnapshot { round, index, last_term, source, pieces, number, .. } => {
+            Body::InstallSnapshot { round, index, last_term, source, chunks, number, .. } => {
                 if self.follows(&from, term, round, index) {
                     let term = last_term;
-                    let piece = SnapshotPiece { index, term, group, source, pieces, number, record: piece };
-                    self.install_requested(&from, round, piece);
+                    let chunk = SnapshotChunk { index, term, group, source, chunks, number, record: chunk };
+                    self.install_requested(&from, round, chunk);
                 }
             }
             Body::Appended { round, matched, settled } => {
@@ -65,7 +65,7 @@
             Body::SnapshotWanted { round, source, wanted } => {
                 let most_patience = self.settings.most_patience();
                 self.answered(term == self.term, &from, round, |progress, _| {
-                    progress.wants_piece(source, wanted as usize, most_patience);
+                    progress.wants_chunk(source, wanted as usize, most_patience);
                 });
             }
         }
@@ -160,12 +160,12 @@
     }
 
     /// The follower waits for a piece of the snapshot from this source.
-    fn wants_piece(&mut self, asked: u64, wanted: usize, most_patience: Time) {
+    fn wants_chunk(&mut self, asked: u64, wanted: usize, most_patience: Time) {
         let now = self.heard;
         if let Flow::Snapshot { source, number, sent, patience, .. } = &mut self.flow
             && source.number == asked
             && *number != wanted
-            && wanted < source.state.pieces()
+            && wanted < source.state.chunks()
         {
             *number = wanted;
             if let Some(at) = sent.take() {
--- a/crates/consensus/src/replica/recovery.rs
+++ b/crates/consensus/src/replica/recovery.rs
@@ -13,7 +13,7 @@
 /// Pieces of a snapshot that are still to come among the records.
 struct Missing {
     index: Index,
-    pieces: u32,
+    chunks: u32,
     next: u32,
 }
 
@@ -37,7 +37,7 @@
             replica.founded = true;
             let record = wire::read_record(record)?;
             missing = match missing.take() {
-                Some(missing) => replica.recover_piece(missing, record)?,
+                Some(missing) => replica.recover_chunk(missing, record)?,
                 None => replica.recover_record(record)?,
             };
         }
@@ -67,25 +67,25 @@
             }
             Record::Settled { index } => self.settled = self.settled.max(index),
             Record::VoteFloor { term, index } => self.vote_floor = self.vote_floor.max((term, index)),
-            Record::Snapshot { index, term, group, pieces } => {
+            Record::Snapshot { index, term, group, chunks } => {
                 self.log = Log::new(index, term, group.clone());
                 self.snapshot = Arc::new(Snapshot { index, term, group, state: None });
                 self.restoring.clear();
                 if index > 0 {
                     self.restoring.push_back(Restore::Begin);
                 }
-                return Ok(self.recover_rest(Missing { index, pieces, next: 0 }));
+                return Ok(self.recover_rest(Missing { index, chunks, next: 0 }));
             }
-            Record::Piece { .. } => return Err(DecodeError::Malformed("a piece of no snapshot")),
+            Record::Chunk { .. } => return Err(DecodeError::Malformed("a piece of no snapshot")),
         }
         Ok(None)
     }
 
     /// Takes the next piece of a snapshot.
-    fn recover_piece(&mut self, missing: Missing, record: Record) -> Result<Option<Missing>, DecodeError> {
+    fn recover_chunk(&mut self, missing: Missing, record: Record) -> Result<Option<Missing>, DecodeError> {
         match record {
-            Record::Piece { number, state } if number == missing.next => {
-                self.restoring.push_back(Restore::Piece(state));
+            Record::Chunk { number, state } if number == missing.next => {
+                self.restoring.push_back(Restore::Chunk(state));
                 Ok(self.recover_rest(Missing { next: number + 1, ..missing }))
             }
             _ => Err(DecodeError::Malformed("a snapshot that is not whole")),
@@ -94,7 +94,7 @@
 
     /// What is still missing, if anything is; otherwise the snapshot is whole.
     fn recover_rest(&mut self, missing: Missing) -> Option<Missing> {
-        if missing.next < missing.pieces {
+        if missing.next < missing.chunks {
             return Some(missing);
         }
         if missing.index > 0 {
--- a/crates/consensus/src/replica/sending.rs
+++ b/crates/consensus/src/replica/sending.rs
@@ -55,7 +55,7 @@
 
     /// Sends every follower what it lacks, as far as what is on its way allows.
     pub(super) fn flush(&mut self) {
-        let beat = std::mem::take(&mut self.beat);
+        let broadcast_pending = std::mem::take(&mut self.broadcast_pending);
         let mut messages = std::mem::take(&mut self.output.messages);
         let mut all = std::mem::take(&mut self.progress);
         let whole = self.snapshot.state.is_some() && self.snapshot.index >= self.log.base();
@@ -64,7 +64,7 @@
         };
         self.state_wanted |= !whole && all.values().any(lacks);
         for progress in all.values_mut() {
-            self.feed(progress, beat, &mut messages);
+            self.feed(progress, broadcast_pending, &mut messages);
         }
         self.progress = all;
         self.output.messages = messages;
@@ -73,7 +73,12 @@
     pub(super) fn is_alive(&self, progress: &Progress) -> bool {
         self.now - progress.heard <= self.settings.election
     }
-    pub(super) fn feed(&self, progress: &mut Progress, beat: bool, messages: &mut Vec<(Member, Bytes)>) {
+    pub(super) fn feed(
+        &self,
+        progress: &mut Progress,
+        broadcast_pending: bool,
+        messages: &mut Vec<(Member, Bytes)>,
+    ) {
         let before = messages.len();
         let is_alive = self.is_alive(progress);
         if let Flow::Snapshot { snapshot, .. } = &progress.flow
@@ -88,7 +93,7 @@
             let source = source.filter(|_| is_alive && self.snapshot.index >= self.log.base());
             let Some(source) = source else {
                 // The state is asked for; until it is there this follower has signs of life.
-                if beat && let Some(term) = self.log.term(self.log.base()) {
+                if broadcast_pending && let Some(term) = self.log.term(self.log.base()) {
                     messages.push(self.empty_message(&progress.member, self.log.base(), term));
                 }
                 return;
@@ -125,17 +130,17 @@
                 // Bulk goes to those who live.
                 if is_alive && sent.is_none() {
                     *sent = Some(self.now);
-                    messages.push(self.piece_message(&progress.member, snapshot, source, *number));
+                    messages.push(self.chunk_message(&progress.member, snapshot, source, *number));
                 }
                 // What is not installed yet is no ground to stand on: this one only gives a sign of life.
-                if beat {
+                if broadcast_pending {
                     let (index, term) = (snapshot.index, snapshot.term);
                     messages.push(self.empty_message(&progress.member, index, term));
                 }
                 return;
             }
         }
-        if at.is_none() && beat && messages.len() == before {
+        if at.is_none() && broadcast_pending && messages.len() == before {
             at = Some(progress.next - 1);
         }
         if let Some(prev) = at
@@ -182,7 +187,7 @@
         (self.encode(to, body, &bulk), last)
     }
     /// With a piece of a snapshot, which is encoded now.
-    fn piece_message(
+    fn chunk_message(
         &self,
         to: &Member,
         snapshot: &Snapshot,
@@ -190,9 +195,9 @@
         number: usize,
     ) -> (Member, Bytes) {
         let group = wire::group(&[], &snapshot.group);
-        let pieces = source.state.pieces();
-        let (head, piece) = if number < pieces {
-            (wire::piece_head(number), source.state.piece(number))
+        let chunks = source.state.chunks();
+        let (head, chunk) = if number < chunks {
+            (wire::chunk_header(number), source.state.chunk(number))
         } else {
             (vec![], Bytes::new())
         };
@@ -202,11 +207,11 @@
             index: snapshot.index,
             last_term: snapshot.term,
             source: source.number,
-            pieces: narrow(pieces),
+            chunks: narrow(chunks),
             number: narrow(number),
             group_len: narrow(group.len()),
         };
-        self.encode(to, body, &[&group, &head, &piece])
+        self.encode(to, body, &[&group, &head, &chunk])
     }
 
     pub(super) fn observe(&self) -> Observed {
--- a/crates/consensus/src/replica/vacating.rs
+++ b/crates/consensus/src/replica/vacating.rs
@@ -16,7 +16,7 @@
 
 use super::{Replica, Role};
 use crate::log::{Log, Snapshot};
-use crate::records::PieceRecords;
+use crate::records::ChunkRecords;
 use crate::{Index, Time};
 
 impl Replica {
@@ -30,7 +30,7 @@
         self.vote_floor = self.vote_floor.max((self.log.last_term(), self.log.last()));
         self.step_down();
         self.drop_log();
-        self.rewrite(PieceRecords::Received(Arc::new([])), false);
+        self.rewrite(ChunkRecords::Received(Arc::new([])), false);
         true
     }
 
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -6,11 +6,11 @@
 use crate::Index;
 
 /// A state machine's state as of one index. It never changes, is cheap to hold, and is encoded one piece at a time.
-pub trait StateSource: Send + Sync {
+pub trait SnapshotSource: Send + Sync {
     /// How many pieces it has.
-    fn pieces(&self) -> usize;
+    fn chunks(&self) -> usize;
     /// A piece; the same bytes each time. About [`crate::Settings::most_bytes`] long at most, as it goes in one message.
-    fn piece(&self, number: usize) -> Bytes;
+    fn chunk(&self, number: usize) -> Bytes;
     /// Bytes of all pieces together.
     fn size(&self) -> u64;
 }
@@ -21,7 +21,7 @@
     /// Another state is begun, empty, beside the one in force; one begun earlier and not finished is dropped.
     Begin,
     /// The next piece of the state that was begun.
-    Piece(Bytes),
+    Chunk(Bytes),
     /// What was begun is dropped.
     Abandon,
     /// All pieces have come: the state that was begun is in force, as of this index.
@@ -32,7 +32,7 @@
     /// Bytes that it hands on.
     pub(crate) fn len(&self) -> usize {
         match self {
-            Restore::Piece(piece) => piece.len(),
+            Restore::Chunk(chunk) => chunk.len(),
             Restore::Begin | Restore::Abandon | Restore::Finish(_) => 0,
         }
     }
@@ -40,26 +40,26 @@
 
 /// A state that is small enough to be encoded at once.
 #[derive(Clone, Debug)]
-pub struct WholeState {
+pub struct InMemoryState {
     state: Bytes,
-    piece_bytes: usize,
+    chunk_bytes: usize,
 }
 
-impl WholeState {
+impl InMemoryState {
     /// This state, cut into pieces of so many bytes.
-    pub fn new(state: Bytes, piece_bytes: usize) -> Self {
-        Self { state, piece_bytes: piece_bytes.max(1) }
+    pub fn new(state: Bytes, chunk_bytes: usize) -> Self {
+        Self { state, chunk_bytes: chunk_bytes.max(1) }
     }
 }
 
-impl StateSource for WholeState {
-    fn pieces(&self) -> usize {
-        self.state.len().div_ceil(self.piece_bytes)
+impl SnapshotSource for InMemoryState {
+    fn chunks(&self) -> usize {
+        self.state.len().div_ceil(self.chunk_bytes)
     }
 
-    fn piece(&self, number: usize) -> Bytes {
-        let start = number.saturating_mul(self.piece_bytes).min(self.state.len());
-        let end = start.saturating_add(self.piece_bytes).min(self.state.len());
+    fn chunk(&self, number: usize) -> Bytes {
+        let start = number.saturating_mul(self.chunk_bytes).min(self.state.len());
+        let end = start.saturating_add(self.chunk_bytes).min(self.state.len());
         self.state.slice(start..end)
     }
 
--- a/crates/consensus/src/wire.rs
+++ b/crates/consensus/src/wire.rs
@@ -138,7 +138,7 @@
         index: u64,
         last_term: u64,
         source: u64,
-        pieces: u32,
+        chunks: u32,
         number: u32,
         group_len: u32,
     },
@@ -167,14 +167,14 @@
     /// Of [`Body::InstallSnapshot`]: its group.
     pub group: Vec<Member>,
     /// Of [`Body::InstallSnapshot`]: the record of its piece; none where the state is empty.
-    pub piece: Option<Bytes>,
+    pub chunk: Option<Bytes>,
 }
 
 fn joined(head: Vec<u8>, bulk: &[&[u8]]) -> Bytes {
     let mut bytes = head;
     bytes.reserve_exact(bulk.iter().map(|bytes| bytes.len()).sum());
-    for part in bulk {
-        bytes.extend_from_slice(part);
+    for shard in bulk {
+        bytes.extend_from_slice(shard);
     }
     Bytes::from(bytes)
 }
@@ -204,8 +204,8 @@
     Ok(Entry { term, kind, data })
 }
 
-fn believed(figures: &[u64]) -> Result<(), DecodeError> {
-    if figures.iter().all(|&figure| figure < MOST) { Ok(()) } else { Err(DecodeError::Malformed("a figure")) }
+fn believed(metrics: &[u64]) -> Result<(), DecodeError> {
+    if metrics.iter().all(|&figure| figure < MOST) { Ok(()) } else { Err(DecodeError::Malformed("a figure")) }
 }
 
 pub fn read_message(bytes: &Bytes) -> Result<Message, DecodeError> {
@@ -219,7 +219,7 @@
         body: head.body,
         entries: vec![],
         group: vec![],
-        piece: None,
+        chunk: None,
     };
     match &message.body {
         Body::RequestVote { for_term, last_index, last_term, .. } => {
@@ -248,13 +248,13 @@
         Body::Rejected { prev_index, hint_index, hint_term, .. } => {
             believed(&[*prev_index, *hint_index, *hint_term])?;
         }
-        Body::InstallSnapshot { index, last_term, pieces, number, group_len, .. } => {
+        Body::InstallSnapshot { index, last_term, chunks, number, group_len, .. } => {
             believed(&[*index, *last_term])?;
             let len = usize::try_from(*group_len).unwrap_or(usize::MAX);
             let group = rest.get(..len).ok_or(DecodeError::Malformed("a snapshot's group"))?;
             message.group = read_group(group)?.1;
             let record = bytes.slice_ref(rest.get(len..).unwrap_or_default());
-            message.piece = read_message_piece(record, *pieces, *number)?;
+            message.chunk = read_message_chunk(record, *chunks, *number)?;
         }
         Body::SnapshotWanted { .. } => {}
     }
@@ -262,19 +262,19 @@
 }
 
 /// The record of a piece that came in a message; an empty state has no pieces.
-fn read_message_piece(record: Bytes, pieces: u32, number: u32) -> Result<Option<Bytes>, DecodeError> {
+fn read_message_chunk(record: Bytes, chunks: u32, number: u32) -> Result<Option<Bytes>, DecodeError> {
     const MALFORMED: DecodeError = DecodeError::Malformed("a snapshot's piece");
-    if pieces == 0 && number == 0 && record.is_empty() {
+    if chunks == 0 && number == 0 && record.is_empty() {
         return Ok(None);
     }
     match read_record(&record)? {
-        Record::Piece { number: own, .. } if own == number && number < pieces => Ok(Some(record)),
+        Record::Chunk { number: own, .. } if own == number && number < chunks => Ok(Some(record)),
         _ => Err(MALFORMED),
     }
 }
 
 /// Bytes of the record of a piece before the piece.
-pub const PIECE_RECORD_HEAD: usize = 1 + 4;
+pub const CHUNK_RECORD_HEADER: usize = 1 + 4;
 /// Bytes of the record of an entry before its content.
 pub const ENTRY_RECORD_HEAD: usize = 1 + 8 + 8 + 1;
 
@@ -289,9 +289,9 @@
     #[deku(id = 4)]
     Settled { index: u64 },
     #[deku(id = 5)]
-    Snapshot { index: u64, term: u64, pieces: u32, group_len: u32 },
+    Snapshot { index: u64, term: u64, chunks: u32, group_len: u32 },
     #[deku(id = 6)]
-    Piece { number: u32 },
+    Chunk { number: u32 },
     #[deku(id = 7)]
     VoteFloor { term: u64, index: u64 },
 }
@@ -310,9 +310,9 @@
         index: Index,
         term: Term,
         group: Vec<Member>,
-        pieces: u32,
+        chunks: u32,
     },
-    Piece {
+    Chunk {
         number: u32,
         state: Bytes,
     },
@@ -345,21 +345,21 @@
 }
 
 /// The record before those of so many pieces.
-pub fn snapshot_record(index: Index, term: Term, members: &[Member], pieces: usize) -> Bytes {
-    let pieces = u32::try_from(pieces).unwrap_or(u32::MAX);
+pub fn snapshot_record(index: Index, term: Term, members: &[Member], chunks: usize) -> Bytes {
+    let chunks = u32::try_from(chunks).unwrap_or(u32::MAX);
     let group = group(&[], members);
     let group_len = u32::try_from(group.len()).unwrap_or(u32::MAX);
-    record(&RecordHead::Snapshot { index, term, pieces, group_len }, &[&group])
+    record(&RecordHead::Snapshot { index, term, chunks, group_len }, &[&group])
 }
 
 /// The beginning of a piece's record; the piece follows.
-pub fn piece_head(number: usize) -> Vec<u8> {
+pub fn chunk_header(number: usize) -> Vec<u8> {
     let number = u32::try_from(number).unwrap_or(u32::MAX);
-    RecordHead::Piece { number }.to_bytes().unwrap_or_default()
+    RecordHead::Chunk { number }.to_bytes().unwrap_or_default()
 }
 
-pub fn piece_record(number: usize, state: &[u8]) -> Bytes {
-    joined(piece_head(number), &[state])
+pub fn chunk_record(number: usize, state: &[u8]) -> Bytes {
+    joined(chunk_header(number), &[state])
 }
 
 pub fn settled_record(index: Index) -> Bytes {
@@ -382,14 +382,14 @@
             believed(&[index, term])?;
             Record::Entry { index, entry: entry(term, kind, bytes.slice_ref(rest))? }
         }
-        RecordHead::Snapshot { index, term, pieces, group_len } => {
+        RecordHead::Snapshot { index, term, chunks, group_len } => {
             believed(&[index, term])?;
             if usize::try_from(group_len).unwrap_or(usize::MAX) != rest.len() {
                 return Err(DecodeError::Malformed("a snapshot's group"));
             }
-            Record::Snapshot { index, term, group: read_group(rest)?.1, pieces }
+            Record::Snapshot { index, term, group: read_group(rest)?.1, chunks }
         }
-        RecordHead::Piece { number } => Record::Piece { number, state: bytes.slice_ref(rest) },
+        RecordHead::Chunk { number } => Record::Chunk { number, state: bytes.slice_ref(rest) },
         RecordHead::Settled { index } => {
             believed(&[index])?;
             Record::Settled { index }
--- a/crates/consensus/tests/bounded_steps.rs
+++ b/crates/consensus/tests/bounded_steps.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use common::{MILLIS, Network, SECOND, World, is_more_than_bounded, member, members, settings};
 use rainlug_consensus::{
-    Index, MOST_HANDED_BYTES, MOST_HANDED_ENTRIES, MemberId, Output, Replica, Restore, Settings, StateSource,
-    Time, WholeState,
+    InMemoryState, Index, MAX_APPLY_BYTES, MAX_APPLY_ENTRIES, MemberId, Output, Replica, Restore, Settings,
+    SnapshotSource, Time,
 };
 
 /// Bytes of a change beside its number.
@@ -121,7 +121,7 @@
     println!("{:?} takes, leaders of terms {leader_terms:?}", fleet.takes);
     assert_eq!(fleet.applied, [ENTRIES, ENTRIES]);
     assert_eq!(fleet.too_much, 0);
-    assert!(fleet.takes.iter().all(|&takes| takes >= ENTRIES / MOST_HANDED_ENTRIES), "{:?}", fleet.takes);
+    assert!(fleet.takes.iter().all(|&takes| takes >= ENTRIES / MAX_APPLY_ENTRIES), "{:?}", fleet.takes);
     // Then who was elected first leads on: signs of life go and come while both are behind.
     assert_eq!(leader_terms.len(), 1, "{leader_terms:?}");
     assert!(fleet.sent_meanwhile >= 5 && fleet.heard_meanwhile >= 5);
@@ -169,8 +169,7 @@
 
 #[test]
 fn given_entries_of_many_sizes_when_they_are_applied_then_one_longer_than_the_bound_goes_alone() {
-    let sizes =
-        [10, MOST_HANDED_BYTES + 100, MOST_HANDED_BYTES / 2, MOST_HANDED_BYTES / 2, 30, MOST_HANDED_BYTES];
+    let sizes = [10, MAX_APPLY_BYTES + 100, MAX_APPLY_BYTES / 2, MAX_APPLY_BYTES / 2, 30, MAX_APPLY_BYTES];
     let mut world = World::new(2, &[1, 2, 3], wide());
     let leader = world.elect();
     for size in sizes.repeat(5) {
@@ -194,41 +193,41 @@
 fn the_check_finds_a_take_above_the_bound() {
     let command = |bytes: usize| (1, Bytes::from(vec![0; bytes]));
     let output = |committed: Vec<(Index, Bytes)>| Output { committed, ..Output::default() };
-    assert!(!is_more_than_bounded(&output(vec![command(MOST_HANDED_BYTES + 1)])));
-    assert!(is_more_than_bounded(&output(vec![command(MOST_HANDED_BYTES), command(1)])));
-    assert!(is_more_than_bounded(&output(vec![command(0); MOST_HANDED_ENTRIES + 1])));
+    assert!(!is_more_than_bounded(&output(vec![command(MAX_APPLY_BYTES + 1)])));
+    assert!(is_more_than_bounded(&output(vec![command(MAX_APPLY_BYTES), command(1)])));
+    assert!(is_more_than_bounded(&output(vec![command(0); MAX_APPLY_ENTRIES + 1])));
     let restore =
-        vec![Restore::Piece(Bytes::from(vec![0; MOST_HANDED_BYTES])), Restore::Piece(Bytes::from("a"))];
+        vec![Restore::Chunk(Bytes::from(vec![0; MAX_APPLY_BYTES])), Restore::Chunk(Bytes::from("a"))];
     assert!(is_more_than_bounded(&Output { restore, ..Output::default() }));
 }
 
 /// A state of many pieces that tells how many of them were made.
 struct Counted {
-    pieces: usize,
+    chunks: usize,
     made: AtomicUsize,
 }
 
-const COUNTED_PIECE: usize = 1_000;
+const COUNTED_CHUNK: usize = 1_000;
 
 impl Counted {
-    fn new(pieces: usize) -> Arc<Self> {
-        Arc::new(Self { pieces, made: AtomicUsize::new(0) })
+    fn new(chunks: usize) -> Arc<Self> {
+        Arc::new(Self { chunks, made: AtomicUsize::new(0) })
     }
     fn made(&self) -> usize {
         self.made.load(Ordering::Relaxed)
     }
 }
 
-impl StateSource for Counted {
-    fn pieces(&self) -> usize {
-        self.pieces
+impl SnapshotSource for Counted {
+    fn chunks(&self) -> usize {
+        self.chunks
     }
-    fn piece(&self, number: usize) -> Bytes {
+    fn chunk(&self, number: usize) -> Bytes {
         self.made.fetch_add(1, Ordering::Relaxed);
-        Bytes::from(vec![(number % 251) as u8; COUNTED_PIECE])
+        Bytes::from(vec![(number % 251) as u8; COUNTED_CHUNK])
     }
     fn size(&self) -> u64 {
-        (self.pieces * COUNTED_PIECE) as u64
+        (self.chunks * COUNTED_CHUNK) as u64
     }
 }
 
@@ -256,9 +255,9 @@
 
 #[test]
 fn given_a_big_state_when_it_is_compacted_then_no_piece_is_made_before_the_disk_writes_it() {
-    const PIECES: usize = 2_000;
+    const CHUNKS: usize = 2_000;
     let mut replica = alone();
-    let state = Counted::new(PIECES);
+    let state = Counted::new(CHUNKS);
     replica.snapshot(0, state.clone());
     replica.propose(0, Bytes::from("four")).expect("it leads");
     let output = replica.take();
@@ -266,7 +265,7 @@
     assert_eq!(state.made(), 0);
     // When its size is asked for, which is needed first: it is told without making any.
     let size = records.size();
-    assert_eq!((state.made(), records.snapshot_count()), (0, 1 + PIECES));
+    assert_eq!((state.made(), records.snapshot_count()), (0, 1 + CHUNKS));
     // When it is walked over twice, as where the disk refused it: the same records, one made at a time.
     let mut walk = records.iter();
     assert!(walk.next().is_some() && walk.next().is_some());
@@ -278,23 +277,23 @@
     assert_eq!(records.record(records.count()), None);
     // Then who has them restores it in bounded parts, with bytes that are the records' own.
     let mut again = Replica::recover(member(1), vec![], wide(), &one, 2, 0).expect("its own records");
-    let (mut pieces, mut takes) = (0, 0);
+    let (mut chunks, mut takes) = (0, 0);
     while again.has_backlog() {
         assert!(!again.leads() && again.next() == 0);
         let output = again.take();
         assert!(!is_more_than_bounded(&output));
         takes += 1;
         for step in output.restore {
-            if let Restore::Piece(piece) = step {
-                assert_eq!(piece, state.piece(pieces));
-                let record = &one[1 + pieces];
-                assert!(record.as_ptr_range().contains(&piece.as_ptr()), "piece {pieces} is a copy");
-                pieces += 1;
+            if let Restore::Chunk(chunk) = step {
+                assert_eq!(chunk, state.chunk(chunks));
+                let record = &one[1 + chunks];
+                assert!(record.as_ptr_range().contains(&chunk.as_ptr()), "piece {chunks} is a copy");
+                chunks += 1;
             }
         }
     }
-    assert_eq!(pieces, PIECES);
-    assert!(takes >= PIECES * COUNTED_PIECE / MOST_HANDED_BYTES, "{takes}");
+    assert_eq!(chunks, CHUNKS);
+    assert!(takes >= CHUNKS * COUNTED_CHUNK / MAX_APPLY_BYTES, "{takes}");
 }
 
 #[test]
@@ -320,7 +319,7 @@
 #[test]
 fn given_a_snapshot_without_any_pieces_when_it_is_read_then_an_empty_state_is_restored() {
     let mut leader = alone();
-    leader.snapshot(0, Arc::new(WholeState::new(Bytes::new(), 10)));
+    leader.snapshot(0, Arc::new(InMemoryState::new(Bytes::new(), 10)));
     let records = leader.take().rewrite.expect("it is compacted").records;
     let records: Vec<Bytes> = records.iter().collect();
     let mut again = Replica::recover(member(1), vec![], wide(), &records, 1, 0).expect("its own records");
--- a/crates/consensus/tests/catch_up.rs
+++ b/crates/consensus/tests/catch_up.rs
@@ -21,7 +21,7 @@
 /// What a message takes beside its entries or its piece of a snapshot, at most, where it names no group.
 const MESSAGE_HEAD: usize = 150;
 /// The same of a piece of a snapshot, which names a group of three.
-const PIECE_HEAD: usize = 350;
+const CHUNK_HEADER: usize = 350;
 /// Messages with entries that are on their way to one member, at most.
 const MOST_IN_FLIGHT: usize = 8;
 
@@ -139,16 +139,16 @@
 fn most_bytes(took: &CaughtUp) -> usize {
     let heartbeats = usize::try_from(took.time / wide().heartbeat).expect("few") + 2;
     let state = took.changes * CHANGE_IN_STATE;
-    let pieces = state.div_ceil(wide().most_bytes) + 1;
+    let chunks = state.div_ceil(wide().most_bytes) + 1;
     let entries = kept_entries().min(took.changes) + took.meanwhile;
-    state + pieces * (PIECE_HEAD + MESSAGE_HEAD) + entries * CHANGE_ON_WIRE + heartbeats * MESSAGE_HEAD
+    state + chunks * (CHUNK_HEADER + MESSAGE_HEAD) + entries * CHANGE_ON_WIRE + heartbeats * MESSAGE_HEAD
 }
 
 fn most_time(took: &CaughtUp) -> Time {
     // There and back; the snapshot's rewrite and the entries' records; and until the first word of the leader.
     const ROUND: Time = 2 * MILLIS + MILLIS / 2;
-    let pieces = (took.changes * CHANGE_IN_STATE).div_ceil(wide().most_bytes);
-    2 * wide().heartbeat + ROUND * Time::try_from(pieces + 4).expect("few") + 3 * PACE
+    let chunks = (took.changes * CHANGE_IN_STATE).div_ceil(wide().most_bytes);
+    2 * wide().heartbeat + ROUND * Time::try_from(chunks + 4).expect("few") + 3 * PACE
 }
 
 #[test]
@@ -169,7 +169,7 @@
             assert!(traffic.bytes <= most_bytes(&took), "{absence:?}, {changes}: {took:?}");
             // While it is frozen, signs of life gather.
             let signs = if absence == Absence::Frozen { changes * MESSAGE_HEAD / 10 } else { 0 };
-            let most = MOST_IN_FLIGHT * (wide().most_bytes + PIECE_HEAD) + signs;
+            let most = MOST_IN_FLIGHT * (wide().most_bytes + CHUNK_HEADER) + signs;
             assert!(traffic.most_in_flight <= most, "{absence:?}, {changes}: {took:?}");
             assert!(changes > 2 * kept_entries() || traffic.snapshot_bytes <= most_bytes(&took) / 2);
         }
@@ -394,7 +394,7 @@
     world.recording = None;
     world.run_for(SECOND);
     let mut recorded = std::mem::take(&mut world.recorded);
-    recorded.shuffle(&mut world.chance);
+    recorded.shuffle(&mut world.rng);
     for bytes in recorded {
         world.replay(far, bytes);
         world.run_for(MILLIS / 10);
@@ -425,7 +425,7 @@
 
 #[test]
 fn the_checker_finds_a_changed_piece() {
-    let result = transfer_over_bad_links(1, 0.05, 0.05, 0.05, Fault::FlippedPiece);
+    let result = transfer_over_bad_links(1, 0.05, 0.05, 0.05, Fault::FlippedChunk);
     assert!(
         result.as_ref().is_err_and(|what| what.contains("restores what was not committed")),
         "{result:?}"
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -7,8 +7,8 @@
 
 use bytes::Bytes;
 use rainlug_consensus::{
-    Index, MOST_HANDED_BYTES, MOST_HANDED_ENTRIES, Member, MemberId, Output, Records, Refused, Replica,
-    Restore, Rewrite, Settings, Term, Time, WholeState,
+    InMemoryState, Index, MAX_APPLY_BYTES, MAX_APPLY_ENTRIES, Member, MemberId, Output, Records, Refused,
+    Replica, Restore, Rewrite, Settings, Term, Time,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -126,12 +126,12 @@
     /// A crash may leave some of a snapshot's pieces only.
     TornSnapshot,
     /// The last byte of a snapshot's pieces is another one on arrival.
-    FlippedPiece,
+    FlippedChunk,
 }
 
 pub struct World {
     pub now: Time,
-    pub chance: ChaCha8Rng,
+    pub rng: ChaCha8Rng,
     pub settings: Settings,
     pub nodes: BTreeMap<MemberId, Node>,
     events: BTreeMap<(Time, u64), Event>,
@@ -175,7 +175,7 @@
     pub fn new(seed: u64, founding: &[MemberId], settings: Settings) -> Self {
         let mut world = Self {
             now: 0,
-            chance: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             settings,
             nodes: BTreeMap::new(),
             events: BTreeMap::new(),
@@ -229,7 +229,7 @@
         self.start(id);
     }
     pub fn start(&mut self, id: MemberId) {
-        let seed = self.chance.random();
+        let seed = self.rng.random();
         let node = self.nodes.get_mut(&id).expect("a known node");
         if node.lost || node.replica.is_some() {
             return;
@@ -266,7 +266,7 @@
     /// The process ends; of what was not synced any beginning may be on the disk.
     pub fn crash(&mut self, id: MemberId) {
         let unsynced = self.unsynced(id);
-        let kept = self.chance.random_range(0..=unsynced);
+        let kept = self.rng.random_range(0..=unsynced);
         self.crash_keeping(id, kept);
     }
     /// Writes that it has asked for and that are not synced.
@@ -397,16 +397,16 @@
 
     /// Puts a message on its way.
     fn send(&mut self, at: Time, to: MemberId, bytes: Bytes) {
-        let is_piece = body_code(&bytes) == INSTALL_SNAPSHOT;
+        let is_chunk = body_code(&bytes) == INSTALL_SNAPSHOT;
         let traffic = self.traffic.entry(to).or_default();
         traffic.bytes += bytes.len();
-        traffic.snapshot_bytes += if is_piece { bytes.len() } else { 0 };
+        traffic.snapshot_bytes += if is_chunk { bytes.len() } else { 0 };
         traffic.in_flight += bytes.len();
         traffic.most_in_flight = traffic.most_in_flight.max(traffic.in_flight);
         if self.recording == Some(to) {
             self.recorded.push(bytes.clone());
         }
-        let bytes = if is_piece && self.fault == Fault::FlippedPiece { flip_last(&bytes) } else { bytes };
+        let bytes = if is_chunk && self.fault == Fault::FlippedChunk { flip_last(&bytes) } else { bytes };
         self.event(at, Event::Deliver { to, bytes });
     }
     /// Delivers a message again.
@@ -421,7 +421,7 @@
             let Some(node) = self.nodes.get_mut(&id) else { return };
             let Some(replica) = node.replica.as_mut() else { return };
             if std::mem::take(&mut node.wants_snapshot) {
-                let source = WholeState::new(encode(&node.applied), self.settings.most_bytes);
+                let source = InMemoryState::new(encode(&node.applied), self.settings.most_bytes);
                 replica.snapshot(now, Arc::new(source));
             }
             let output = replica.take();
@@ -499,22 +499,22 @@
                 self.violate(what);
             }
             if writes > 0 {
-                let slow = self.chance.random_bool(self.network.slow);
-                let delay = self.chance.random_range(1..=disk_delay) * if slow { 50 } else { 1 };
+                let slow = self.rng.random_bool(self.network.slow);
+                let delay = self.rng.random_range(1..=disk_delay) * if slow { 50 } else { 1 };
                 self.event(now + delay, Event::Synced { node: id, life, writes });
             }
             for (to, bytes) in output.messages {
                 self.longest = self.longest.max(bytes.len());
-                if self.cuts.contains(&(id, to.id)) || self.chance.random_bool(self.network.loss) {
+                if self.cuts.contains(&(id, to.id)) || self.rng.random_bool(self.network.loss) {
                     continue;
                 }
-                for _ in 0..=u8::from(self.chance.random_bool(self.network.twice)) {
-                    let slow = self.chance.random_bool(self.network.slow);
+                for _ in 0..=u8::from(self.rng.random_bool(self.network.twice)) {
+                    let slow = self.rng.random_bool(self.network.slow);
                     // In order where the network is calm, as on one connection.
                     let delay = match (self.network.slow > 0.0, slow) {
                         (false, _) => MILLIS,
-                        (true, false) => self.chance.random_range(100..3 * MILLIS),
-                        (true, true) => self.chance.random_range(MILLIS..150 * MILLIS),
+                        (true, false) => self.rng.random_range(100..3 * MILLIS),
+                        (true, true) => self.rng.random_range(MILLIS..150 * MILLIS),
                     };
                     self.send(now + delay, to.id, bytes.clone());
                 }
@@ -537,7 +537,7 @@
             Event::Deliver { to, bytes } => {
                 let Some(node) = self.nodes.get_mut(&to) else { return };
                 if node.frozen_until > now {
-                    let at = node.frozen_until + self.chance.random_range(0..2);
+                    let at = node.frozen_until + self.rng.random_range(0..2);
                     self.event(at, Event::Deliver { to, bytes });
                     return;
                 }
@@ -601,7 +601,7 @@
             // A process that wakes may see its clock first, or its messages.
             if let Some((at, id)) = due
                 && at <= self.now
-                && (event.is_none_or(|event| event > at) || self.chance.random())
+                && (event.is_none_or(|event| event > at) || self.rng.random())
             {
                 let now = self.now;
                 if let Some(replica) = self.nodes.get_mut(&id).and_then(|node| node.replica.as_mut()) {
@@ -654,8 +654,8 @@
         match step {
             Restore::Begin => self.building = Some(vec![]),
             Restore::Abandon => self.building = None,
-            Restore::Piece(piece) => match &mut self.building {
-                Some(building) => building.extend_from_slice(&piece),
+            Restore::Chunk(chunk) => match &mut self.building {
+                Some(building) => building.extend_from_slice(&chunk),
                 None => wrong.push(format!("{id} gets a piece of nothing")),
             },
             Restore::Finish(index) => match self.building.take() {
@@ -673,14 +673,14 @@
 
 /// Whether a state machine gets more to do at once than it may: one piece or command alone may be longer.
 pub fn is_more_than_bounded(output: &Output) -> bool {
-    let pieces = output.restore.iter().map(|step| match step {
-        Restore::Piece(piece) => piece.len(),
+    let chunks = output.restore.iter().map(|step| match step {
+        Restore::Chunk(chunk) => chunk.len(),
         _ => 0,
     });
     let commands = output.committed.iter().map(|(_, command)| command.len());
-    let lengths: Vec<usize> = pieces.chain(commands).collect();
+    let lengths: Vec<usize> = chunks.chain(commands).collect();
     let bytes: usize = lengths.iter().sum();
-    lengths.len() > MOST_HANDED_ENTRIES || lengths.len() > 1 && bytes > MOST_HANDED_BYTES
+    lengths.len() > MAX_APPLY_ENTRIES || lengths.len() > 1 && bytes > MAX_APPLY_BYTES
 }
 
 fn flip_last(bytes: &Bytes) -> Bytes {
--- a/crates/consensus/tests/courses.rs
+++ b/crates/consensus/tests/courses.rs
@@ -31,20 +31,20 @@
     let mut had = Had::default();
     let mut spares: Vec<Member> = vec![];
     for _ in 0..400 {
-        let pause = world.chance.random_range(MILLIS..60 * MILLIS);
+        let pause = world.rng.random_range(MILLIS..60 * MILLIS);
         world.run_for(pause);
         if let Some(violation) = world.violation.take() {
             return Err(violation);
         }
         let ids: Vec<u64> = world.nodes.iter().filter(|(_, node)| !node.lost).map(|(&id, _)| id).collect();
-        let Some(&one) = ids.choose(&mut world.chance) else { continue };
-        let Some(&two) = ids.choose(&mut world.chance) else { continue };
+        let Some(&one) = ids.choose(&mut world.rng) else { continue };
+        let Some(&two) = ids.choose(&mut world.rng) else { continue };
         let leader = world.leader();
-        match world.chance.random_range(0..100) {
+        match world.rng.random_range(0..100) {
             0..40 => {
-                for _ in 0..world.chance.random_range(1..5) {
-                    let at = if world.chance.random() { leader.unwrap_or(one) } else { one };
-                    let padding = world.chance.random_range(0..300);
+                for _ in 0..world.rng.random_range(1..5) {
+                    let at = if world.rng.random() { leader.unwrap_or(one) } else { one };
+                    let padding = world.rng.random_range(0..300);
                     world.propose(at, padding);
                 }
             }
@@ -68,7 +68,7 @@
                 }
             }
             78..82 => {
-                let time = world.chance.random_range(10 * MILLIS..SECOND);
+                let time = world.rng.random_range(10 * MILLIS..SECOND);
                 world.freeze(one, time);
             }
             82..85 => world.cut(one, two),
@@ -167,7 +167,7 @@
         return done;
     }
     let least = 2 * world.settings.copies - 1;
-    match world.chance.random_range(0..3) {
+    match world.rng.random_range(0..3) {
         0 if group.len() < least + 2 => {
             world.next_id += 1;
             let id = world.next_id;
@@ -175,14 +175,14 @@
             group.push(member(id));
         }
         1 if group.len() > least => {
-            let place = world.chance.random_range(0..group.len());
+            let place = world.rng.random_range(0..group.len());
             group.remove(place);
         }
         _ => {
             world.next_id += 1;
             let id = world.next_id;
             world.add(id, vec![]);
-            let place = world.chance.random_range(0..group.len());
+            let place = world.rng.random_range(0..group.len());
             group[place] = member(id);
         }
     }
--- a/crates/consensus/tests/fencing.rs
+++ b/crates/consensus/tests/fencing.rs
@@ -26,7 +26,7 @@
 impl Fences {
     /// Tells a node of some of them, all where `all`.
     fn tell(&self, world: &mut World, id: MemberId, all: bool) {
-        let count = if all { self.order.len() } else { world.chance.random_range(0..=self.order.len()) };
+        let count = if all { self.order.len() } else { world.rng.random_range(0..=self.order.len()) };
         world.fence(id, &self.order[..count]);
     }
     fn has(&self, id: MemberId) -> bool {
@@ -105,11 +105,11 @@
             .map(|member| member.id)
             .filter(|id| !self.world.nodes[id].lost && !self.fences.has(*id))
             .collect();
-        let Some(&one) = whole.choose(&mut self.world.chance) else { return };
+        let Some(&one) = whole.choose(&mut self.world.rng) else { return };
         if self.missing(&group) >= self.bears {
             return;
         }
-        if self.world.chance.random_bool(0.3) {
+        if self.world.rng.random_bool(0.3) {
             // It is only away for long, and comes back; its seat is for another machine by then.
             self.world.crash(one);
             self.fences.order.push(one);
@@ -120,7 +120,7 @@
         }
         if at_once {
             let rest: Vec<MemberId> = whole.into_iter().filter(|id| *id != one).collect();
-            if let Some(&two) = rest.choose(&mut self.world.chance) {
+            if let Some(&two) = rest.choose(&mut self.world.rng) {
                 self.wipe(two);
             }
         }
@@ -147,14 +147,14 @@
             }
             return;
         }
-        let place = self.world.chance.random_range(0..group.len());
-        if group.len() > least && self.world.chance.random() {
+        let place = self.world.rng.random_range(0..group.len());
+        if group.len() > least && self.world.rng.random() {
             group.remove(place);
         } else {
             self.world.next_id += 1;
             let id = self.world.next_id;
             self.world.add(id, vec![]);
-            if group.len() < least + 2 && self.world.chance.random() {
+            if group.len() < least + 2 && self.world.rng.random() {
                 group.push(member(id));
             } else {
                 group[place] = member(id);
@@ -164,15 +164,15 @@
     }
 
     fn step(&mut self) {
-        let pause = self.world.chance.random_range(MILLIS..60 * MILLIS);
+        let pause = self.world.rng.random_range(MILLIS..60 * MILLIS);
         self.world.run_for(pause);
         let up = self.up();
-        let Some(&one) = up.choose(&mut self.world.chance) else { return };
-        let Some(&two) = up.choose(&mut self.world.chance) else { return };
+        let Some(&one) = up.choose(&mut self.world.rng) else { return };
+        let Some(&two) = up.choose(&mut self.world.rng) else { return };
         let leader = self.world.elected();
-        match self.world.chance.random_range(0..100) {
+        match self.world.rng.random_range(0..100) {
             0..30 => {
-                let padding = self.world.chance.random_range(0..300);
+                let padding = self.world.rng.random_range(0..300);
                 self.world.propose(leader.unwrap_or(one), padding);
             }
             30..40 => {
@@ -183,7 +183,7 @@
             44..46 => up.iter().for_each(|&id| self.world.power_off(id)),
             46..56 => up.iter().for_each(|&id| self.world.start(id)),
             56..58 => {
-                let time = self.world.chance.random_range(10 * MILLIS..SECOND);
+                let time = self.world.rng.random_range(10 * MILLIS..SECOND);
                 self.world.freeze(one, time);
             }
             58..61 => self.world.cut(one, two),
--- a/crates/consensus/tests/transfer.rs
+++ b/crates/consensus/tests/transfer.rs
@@ -11,7 +11,7 @@
 /// What a change takes in the snapshot of the harness's state machine.
 const CHANGE_IN_STATE: usize = 16;
 /// What a piece of a snapshot takes beside its bytes, at most.
-const PIECE_HEAD: usize = 350;
+const CHUNK_HEADER: usize = 350;
 
 fn change(world: &mut World, changes: usize) {
     for _ in 0..changes {
@@ -48,7 +48,7 @@
     );
     assert!(lacks(&world) <= 2, "it does not catch up in five seconds: {restores} snapshots, {bytes} bytes");
     assert_eq!(restores, 1);
-    assert!(bytes <= state + (state / settings.most_bytes + 1) * PIECE_HEAD, "{bytes} bytes for {state}");
+    assert!(bytes <= state + (state / settings.most_bytes + 1) * CHUNK_HEADER, "{bytes} bytes for {state}");
 }
 
 #[test]
@@ -78,6 +78,6 @@
     // One message may go beyond the bound, and each has a head.
     let sent = world.traffic[&slow].bytes;
     println!("{sent} bytes");
-    assert!(sent < 2 * (settings.most_bytes + PIECE_HEAD), "{sent} bytes on their way");
+    assert!(sent < 2 * (settings.most_bytes + CHUNK_HEADER), "{sent} bytes on their way");
     world.sound();
 }
--- a/crates/coordinator/examples/hollow/mod.rs
+++ b/crates/coordinator/examples/hollow/mod.rs
@@ -65,7 +65,7 @@
     pub saved_bytes: u64,
     /// Of them, in place of all that the log held.
     pub rewritten_bytes: u64,
-    pub beats: u64,
+    pub heartbeats: u64,
 }
 
 impl Spent {
@@ -79,7 +79,7 @@
             saves: self.saves - before.saves,
             saved_bytes: self.saved_bytes - before.saved_bytes,
             rewritten_bytes: self.rewritten_bytes - before.rewritten_bytes,
-            beats: self.beats - before.beats,
+            heartbeats: self.heartbeats - before.heartbeats,
         }
     }
 }
@@ -114,10 +114,10 @@
 enum Event {
     Datagram { to: usize, life: u32, from: SocketAddr, bytes: Bytes },
     Frame { to: usize, life: u32, from: SocketAddr, head: Bytes, tail: Bytes },
-    Saved { at: usize, life: u32, part: u16, ticket: u64 },
+    Saved { at: usize, life: u32, shard: u16, ticket: u64 },
     Wake { at: usize, life: u32 },
-    Ran { at: usize, life: u32, part: u16, lot: String, item: String },
-    Beat { worker: usize },
+    Ran { at: usize, life: u32, shard: u16, job: String, item: String },
+    Heartbeat { worker: usize },
 }
 
 /// News on its way: who has it, and when the last one got it.
@@ -146,7 +146,7 @@
     events: BTreeMap<(Time, u64), Event>,
     count: u64,
     tickets: u64,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
 }
 
 fn address(place: usize) -> SocketAddr {
@@ -172,7 +172,7 @@
             events: BTreeMap::new(),
             count: 0,
             tickets: 0,
-            chance: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
         };
         let roles = [(Role::Core, core), (Role::Gateway, plain), (Role::Store, stores)];
         let roles = roles.into_iter().flat_map(|(role, count)| std::iter::repeat_n(role, count));
@@ -188,7 +188,7 @@
         let (at, now) = (address(place), self.time());
         let seeds: Vec<SocketAddr> = (0..3).map(address).collect();
         let gateway = role != Role::Store;
-        let id = if seeds.contains(&at) { founding_id(at) } else { self.chance.random::<u64>().max(1) };
+        let id = if seeds.contains(&at) { founding_id(at) } else { self.rng.random::<u64>().max(1) };
         let info = NodeInfo {
             node: format!("{}-{place}", if gateway { "edge" } else { "storage" }),
             zone: format!("zone-{}", place % 11),
@@ -199,14 +199,14 @@
             first_boot: true,
             seeds,
             tolerate: 1,
-            beat: BEAT,
+            heartbeat: BEAT,
             disk_bytes: DISK,
             memory_bytes: MEMORY,
             link_bytes_per_second: (LINK * 1e6) as u64,
             sync_time: 5 * SECOND,
             relays: true,
-            keep_lots: 140 * SECOND,
-            seed: self.chance.random(),
+            job_retention: 140 * SECOND,
+            seed: self.rng.random(),
         };
         let coordinator = Coordinator::new(info, Vec::new(), now).expect("no records yet");
         let (spent, wakes) = (Spent::default(), Time::MAX);
@@ -232,8 +232,8 @@
             let id = format!("worker-{worker:05}-3f9a2c");
             let service = worker % SERVICES;
             self.workers.push(HollowWorker { id, service, seq: 0, draining: false, to: None });
-            let at = self.now + self.chance.random_range(0..BEAT);
-            self.push(at, Event::Beat { worker });
+            let at = self.now + self.rng.random_range(0..BEAT);
+            self.push(at, Event::Heartbeat { worker });
         }
     }
 
@@ -242,16 +242,16 @@
         self.workers[worker].draining = true;
         let id = self.workers[worker].id.clone();
         self.drains.insert(id.clone(), Watch::default());
-        (self.beat(worker).unwrap_or(0), id)
+        (self.heartbeat(worker).unwrap_or(0), id)
     }
 
-    fn beat(&mut self, worker: usize) -> Option<u64> {
+    fn heartbeat(&mut self, worker: usize) -> Option<u64> {
         let lives = |at: &usize| self.members[*at].coordinator.is_some();
         let gateways: Vec<usize> = (0..self.members.len())
             .filter(|at| self.members[*at].role != Role::Store)
             .filter(lives)
             .collect();
-        let drawn = gateways[self.chance.random_range(0..gateways.len())];
+        let drawn = gateways[self.rng.random_range(0..gateways.len())];
         let to = self.workers[worker].to.filter(lives).unwrap_or(drawn);
         let hollow = &mut self.workers[worker];
         hollow.seq += 1;
@@ -265,9 +265,9 @@
             cold_left_ms: 0,
             call_seq: hollow.seq,
         };
-        self.members[to].spent.beats += 1;
+        self.members[to].spent.heartbeats += 1;
         self.beat_tickets.insert(self.tickets + 1, worker);
-        Some(self.call(to, Call::Beat(info)))
+        Some(self.call(to, Call::Heartbeat(info)))
     }
 
     /// The process is gone, and its machine.
@@ -315,8 +315,8 @@
         self.members.iter().filter(|m| m.coordinator.is_some()).count()
     }
 
-    pub fn leader(&self, part: u16) -> Option<usize> {
-        self.members.iter().position(|m| m.coordinator.as_ref().is_some_and(|o| o.leads(part).0))
+    pub fn leader(&self, shard: u16) -> Option<usize> {
+        self.members.iter().position(|m| m.coordinator.as_ref().is_some_and(|o| o.leads(shard).0))
     }
 
     /// Whether a configuration is in force everywhere.
@@ -347,11 +347,11 @@
             Event::Saved { at, life, .. } | Event::Wake { at, life } | Event::Ran { at, life, .. } => {
                 (*at, *life)
             }
-            Event::Beat { worker } => {
+            Event::Heartbeat { worker } => {
                 let worker = *worker;
                 if !self.workers[worker].draining {
-                    self.beat(worker);
-                    self.push(self.now + BEAT, Event::Beat { worker });
+                    self.heartbeat(worker);
+                    self.push(self.now + BEAT, Event::Heartbeat { worker });
                 }
                 return;
             }
@@ -371,19 +371,21 @@
                     coordinator.frame(now, from, &bytes).expect("a frame of its own kind")
                 });
             }
-            Event::Saved { part, ticket, .. } => {
-                self.act(at, |coordinator| coordinator.saved(now, part, ticket, 0))
+            Event::Saved { shard, ticket, .. } => {
+                self.act(at, |coordinator| coordinator.saved(now, shard, ticket, 0))
             }
             Event::Wake { .. } => {
                 self.members[at].wakes = Time::MAX;
                 self.act(at, |coordinator| coordinator.due(now));
             }
-            Event::Ran { part, lot, item, .. } => {
+            Event::Ran { shard, job, item, .. } => {
                 self.items_ran += 1;
                 let events = vec![(1, self.output.clone())];
-                self.act(at, |coordinator| coordinator.ran(now, part, &lot, &item, events, RunEnd::Complete));
+                self.act(at, |coordinator| {
+                    coordinator.ran(now, shard, &job, &item, events, RunEnd::Complete)
+                });
             }
-            Event::Beat { .. } => {}
+            Event::Heartbeat { .. } => {}
         }
     }
 
@@ -397,7 +399,7 @@
                 Effect::Datagram { to, bytes } => {
                     let due = self.transmit(at, Kind::Membership, bytes.len());
                     let Some(to) = self.places.get(&to).copied() else { continue };
-                    if self.chance.random::<f64>() >= LOSS {
+                    if self.rng.random::<f64>() >= LOSS {
                         let life = self.members[to].life;
                         self.push(due, Event::Datagram { to, life, from, bytes });
                     }
@@ -410,10 +412,10 @@
                     let (due, life) = (*order, self.members[to].life);
                     self.push(due, Event::Frame { to, life, from, head, tail });
                 }
-                Effect::Save { part, ticket, records } => self.save(at, part, ticket, &records, false),
-                Effect::Rewrite { part, ticket, records, .. } => {
+                Effect::Save { shard, ticket, records } => self.save(at, shard, ticket, &records, false),
+                Effect::Rewrite { shard, ticket, records, .. } => {
                     let records: Vec<Bytes> = records.iter().collect();
-                    self.save(at, part, ticket, &records, true);
+                    self.save(at, shard, ticket, &records, true);
                 }
                 Effect::Renew { .. } => {}
                 Effect::Answer { ticket, answer } => self.answered(ticket, answer),
@@ -430,9 +432,9 @@
                         watch.last = self.now;
                     }
                 }
-                Effect::Run { part, next } => {
-                    let (lot, item) = (next.lot, next.item.id);
-                    self.push(self.now + self.run_time, Event::Ran { at, life, part, lot, item });
+                Effect::Run { shard, next } => {
+                    let (job, item) = (next.job, next.item.id);
+                    self.push(self.now + self.run_time, Event::Ran { at, life, shard, job, item });
                 }
                 Effect::Others(_) | Effect::Reports(_) | Effect::Log(..) => {}
             }
@@ -445,14 +447,14 @@
         }
     }
 
-    fn save(&mut self, at: usize, part: u16, ticket: u64, records: &[Bytes], whole: bool) {
+    fn save(&mut self, at: usize, shard: u16, ticket: u64, records: &[Bytes], whole: bool) {
         let bytes: u64 = records.iter().map(|record| record.len() as u64).sum();
         let Member { spent, life, .. } = &mut self.members[at];
         let life = *life;
         spent.saves += 1;
         spent.saved_bytes += bytes;
         spent.rewritten_bytes += if whole { bytes } else { 0 };
-        self.push(self.now + SYNC, Event::Saved { at, life, part, ticket });
+        self.push(self.now + SYNC, Event::Saved { at, life, shard, ticket });
     }
 
     fn answered(&mut self, ticket: u64, answer: Answer) {
@@ -477,7 +479,7 @@
 
     /// When what a member sends now arrives.
     fn transmit(&mut self, at: usize, kind: Kind, bytes: usize) -> Time {
-        let delay = MS / 2 + self.chance.random_range(0..MS);
+        let delay = MS / 2 + self.rng.random_range(0..MS);
         let member = &mut self.members[at];
         member.spent.sent[kind as usize] += bytes as u64;
         member.spent.messages[kind as usize] += 1;
--- a/crates/coordinator/examples/scale.rs
+++ b/crates/coordinator/examples/scale.rs
@@ -13,8 +13,8 @@
 use bytes::Bytes;
 use hollow::{Fleet, KINDS, Kind, Role, Spent, configuration, settled, shape};
 use rainlug::{SECOND, Time};
-use rainlug_consensus::{Member, MemberId, Replica, Settings, WholeState};
-use rainlug_coordinator::{CONTROL, Call, PARTS, part_of_lot};
+use rainlug_consensus::{InMemoryState, Member, MemberId, Replica, Settings};
+use rainlug_coordinator::{BATCH_SHARDS, CONTROL, Call, shard_of_job};
 
 /// Changes that a figure of spread is over (of the largest configuration: fewer, as all that they cost is reading them), and the
 /// pause between two.
@@ -183,13 +183,14 @@
     let all = fleet.members.len() as f64 * seconds;
     rows.add(load, "all", "process CPU %core (with the harness)", format!("{:.3}", 100.0 * cpu / all));
     let leader = fleet.leader(CONTROL);
-    let lot_leaders: Vec<usize> = (1..=PARTS).filter_map(|part| fleet.leader(part)).collect();
+    let batch_shard_leaders: Vec<usize> =
+        (1..=BATCH_SHARDS).filter_map(|shard| fleet.leader(shard)).collect();
     let groups: [(&str, Vec<usize>); 5] = [
         ("configuration leader", leader.into_iter().collect()),
         ("core", of_role(fleet, Role::Core, leader.as_slice())),
         ("gateway", of_role(fleet, Role::Gateway, &[])),
-        ("store leader", lot_leaders.clone()),
-        ("store", of_role(fleet, Role::Store, &lot_leaders)),
+        ("store leader", batch_shard_leaders.clone()),
+        ("store", of_role(fleet, Role::Store, &batch_shard_leaders)),
     ];
     for (role, places) in groups {
         if places.is_empty() {
@@ -231,7 +232,7 @@
             "core CPU %core at most",
             format!("{:.3}", 100.0 * had * most(&|s| s.busy.as_secs_f64())),
         );
-        rows.add(load, role, "beats/s at most", format!("{:.1}", most(&|s| s.beats as f64)));
+        rows.add(load, role, "beats/s at most", format!("{:.1}", most(&|s| s.heartbeats as f64)));
     }
 }
 
@@ -382,11 +383,11 @@
         let memory = resident();
         let (began, spent) = (fleet.now, fleet.members.iter().map(|m| m.spent).collect::<Vec<_>>());
         let mut tickets = Vec::new();
-        let names = (0..).map(|nth| format!("job-{nth}")).filter(|name| part_of_lot(name) == MEASURED);
-        for (job, lot) in names.take(JOBS).enumerate() {
+        let names = (0..).map(|nth| format!("job-{nth}")).filter(|name| shard_of_job(name) == MEASURED);
+        for (nth, job) in names.take(JOBS).enumerate() {
             let route = "lots".to_owned();
-            let body = batch_job(&lot, ITEMS, 3_000);
-            tickets.push(fleet.call(4 + job % 8, Call::Submit { lot, route, body }));
+            let body = batch_job(&job, ITEMS, 3_000);
+            tickets.push(fleet.call(4 + nth % 8, Call::Submit { job, route, body }));
             fleet.pass(0.01);
         }
         fleet.until(5.0, |fleet| tickets.iter().all(|t| fleet.answers.contains_key(t)));
@@ -503,7 +504,7 @@
             committed += output.committed.len();
             if output.compact {
                 let state = Bytes::from_static(b"state");
-                replica.snapshot(now, Arc::new(WholeState::new(state, 1 << 10)));
+                replica.snapshot(now, Arc::new(InMemoryState::new(state, 1 << 10)));
             }
             let saved = output
                 .save
--- a/crates/coordinator/src/admission.rs
+++ b/crates/coordinator/src/admission.rs
@@ -4,10 +4,10 @@
 use rainlug::{SECOND, Time};
 use rainlug_batch::Command;
 
-use crate::part::Part;
+use crate::capacity::{self, Bounds, Refusal, Refusals, ShardUsage, Usage};
 use crate::quota::Submitting;
-use crate::room::{self, Bounds, PartUse, Refusal, Refusals, Usage};
-use crate::{Answer, CONTROL, Coordinator, Effect, Origin, PARTS};
+use crate::shard::Shard;
+use crate::{Answer, BATCH_SHARDS, CONTROL, Coordinator, Effect, Origin};
 
 /// Entries that wait for their disks, from which on no batch job is taken: links or disks are too slow for
 /// more.
@@ -30,8 +30,8 @@
     forgot_at: Option<Time>,
 }
 
-fn part_use(part: &Part) -> PartUse {
-    PartUse { log: part.log_use(), is_led: part.replica.leads() }
+fn shard_usage(shard: &Shard) -> ShardUsage {
+    ShardUsage { log: shard.log_use(), is_led: shard.replica.leads() }
 }
 
 impl Coordinator {
@@ -42,29 +42,29 @@
 
     /// What this process has in use.
     fn usage(&self) -> Usage {
-        let submitting = self.parts.values().flat_map(|part| part.submitting.values());
-        let kept = self.parts.values().filter(|part| !part.replica.is_vacant());
+        let submitting = self.shards.values().flat_map(|shard| shard.submitting.values());
+        let kept = self.shards.values().filter(|shard| !shard.replica.is_vacant());
         Usage {
-            parts: kept.map(part_use).collect(),
+            shards: kept.map(shard_usage).collect(),
             proposed: submitting.map(|submitting| submitting.bytes).sum(),
-            parts_to_bear: self.parts_to_bear(),
+            shards_to_absorb: self.shards_to_absorb(),
         }
     }
 
     /// Parts that this store may come to have if as many others are lost as may be.
-    fn parts_to_bear(&self) -> u64 {
-        let stores = self.roster.stores.iter().filter(|store| !store.is_retiring()).count() as u64;
+    fn shards_to_absorb(&self) -> u64 {
+        let stores = self.topology.stores.iter().filter(|store| !store.is_retiring()).count() as u64;
         let members = self.info.target_members() as u64;
-        room::parts_to_bear(u64::from(PARTS), members, stores, self.info.tolerate as u64)
+        capacity::shards_to_absorb(u64::from(BATCH_SHARDS), members, stores, self.info.tolerate as u64)
     }
 
     /// Whether another batch job of so many bytes can be kept in a part that is led here, and written now.
     pub(crate) fn has_room(&self, number: u16, bytes: u64) -> Result<(), Refusal> {
-        let Some(part) = self.parts.get(&number) else { return Ok(()) };
-        if part.disk.is_stalled(self.now.steady) {
+        let Some(shard) = self.shards.get(&number) else { return Ok(()) };
+        if shard.disk.is_stalled(self.now.steady) {
             return Err(Refusal::Stall);
         }
-        if part.replica.uncommitted() > MOST_UNCOMMITTED || self.uncommitted_bytes() > MOST_UNCOMMITTED_BYTES
+        if shard.replica.uncommitted() > MOST_UNCOMMITTED || self.uncommitted_bytes() > MOST_UNCOMMITTED_BYTES
         {
             return Err(Refusal::Links);
         }
@@ -74,18 +74,18 @@
 
     /// Bytes that are proposed, or about to be, and not committed, over all parts that are led here.
     fn uncommitted_bytes(&self) -> usize {
-        let led = self.parts.values().filter(|part| part.replica.is_elected());
-        let bytes = led.map(|part| {
-            let reserving: usize = part.submitting.values().map(Submitting::bytes_to_propose).sum();
-            part.replica.uncommitted_bytes() + reserving
+        let led = self.shards.values().filter(|shard| shard.replica.is_elected());
+        let bytes = led.map(|shard| {
+            let reserving: usize = shard.submitting.values().map(Submitting::bytes_to_propose).sum();
+            shard.replica.uncommitted_bytes() + reserving
         });
         bytes.sum()
     }
 
     /// Whether outputs of a part led here wait too long or are too many already for more items to be run.
     pub(crate) fn holds_items_back(&self, number: u16) -> bool {
-        let is_stalled = |part: &Part| part.disk.is_stalled(self.now.steady);
-        self.parts.get(&number).is_some_and(is_stalled) || self.uncommitted_bytes() > MOST_UNCOMMITTED_BYTES
+        let is_stalled = |shard: &Shard| shard.disk.is_stalled(self.now.steady);
+        self.shards.get(&number).is_some_and(is_stalled) || self.uncommitted_bytes() > MOST_UNCOMMITTED_BYTES
     }
 
     /// Answers a batch job that is not taken, and makes room if a rewrite does.
@@ -110,13 +110,13 @@
     /// Proposes to forget what may go by now, in each part that is led here. The entry also makes a rewrite
     /// possible that the disk has put off: a replica writes no snapshot twice.
     fn forget_when_full(&mut self) {
-        let (now, before) = (self.now.steady, self.now.wall - self.info.keep_lots);
+        let (now, before) = (self.now.steady, self.now.wall - self.info.job_retention);
         if self.admission.forgot_at.is_some_and(|forgot_at| now - forgot_at < FORGET_WHEN_FULL) {
             return;
         }
         self.admission.forgot_at = Some(now);
-        let leads = |(number, part): (&u16, &Part)| part.schedule.is_some().then_some(*number);
-        let led: Vec<u16> = self.parts.iter().filter_map(leads).collect();
+        let leads = |(number, shard): (&u16, &Shard)| shard.schedule.is_some().then_some(*number);
+        let led: Vec<u16> = self.shards.iter().filter_map(leads).collect();
         for number in led {
             self.propose_quietly(number, vec![Command::Forget { before }]);
         }
@@ -125,12 +125,12 @@
     /// Asks for the rewrites of logs that make room; whether one was asked for.
     pub(crate) fn rewrite_where_due(&mut self) -> bool {
         let ((bounds, usage), now) = (self.room(), self.now.steady);
-        let numbers: Vec<u16> = self.parts.keys().copied().filter(|number| *number != CONTROL).collect();
+        let numbers: Vec<u16> = self.shards.keys().copied().filter(|number| *number != CONTROL).collect();
         let mut is_asked = false;
         for number in numbers {
-            let Some(part) = self.parts.get_mut(&number) else { continue };
-            if bounds.is_rewrite_due(&usage, &part.log_use()) && part.disk.may_ask_rewrite(now) {
-                part.compact_wanted = true;
+            let Some(shard) = self.shards.get_mut(&number) else { continue };
+            if bounds.is_rewrite_due(&usage, &shard.log_use()) && shard.disk.may_ask_rewrite(now) {
+                shard.compact_wanted = true;
                 is_asked = true;
                 self.drain(number);
             }
@@ -149,9 +149,9 @@
         let (bounds, usage) = self.room();
         let seconds = |time: Time| time as f64 / SECOND as f64;
         let of = |name: &str, value: f64| (format!("room_{name}"), value);
-        let mut figures = vec![
+        let mut metrics = vec![
             of("memory_bytes", usage.memory_bytes() as f64),
-            of("memory_limit_bytes", bounds.memory_limit(usage.parts.len()) as f64),
+            of("memory_limit_bytes", bounds.memory_limit(usage.shards.len()) as f64),
             of("disk_bytes", usage.file_bytes().saturating_add(usage.to_come()) as f64),
             of("disk_limit_bytes", bounds.disk_limit() as f64),
             of("refill_seconds", seconds(bounds.refill_time(&usage))),
@@ -160,7 +160,7 @@
         let refused = |(refusal, count): (Refusal, u64)| {
             (format!("batch_jobs_refused_{}", refusal.name()), count as f64)
         };
-        figures.extend(self.admission.refusals.counts().map(refused));
-        figures
+        metrics.extend(self.admission.refusals.counts().map(refused));
+        metrics
     }
 }
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -10,16 +10,16 @@
 /// A call of a client, worker or operator; answered by [`Effect::Answer`].
 #[derive(Clone, Debug)]
 pub enum Call {
-    Beat(Worker),
-    Goodbye(String),
+    Heartbeat(Worker),
+    Deregister(String),
     Configure { base: u64, text: Bytes },
     Configuration,
     Retire { store: String },
     Retiring { store: String },
-    Submit { lot: String, route: String, body: Bytes },
-    Read { lot: String, since: u64, wait: Time },
-    Body { lot: String, item: String },
-    End { lot: String },
+    Submit { job: String, route: String, body: Bytes },
+    Read { job: String, since: u64, wait: Time },
+    Body { job: String, item: String },
+    End { job: String },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -59,14 +59,14 @@
     },
     /// Appended to the part's log and synced; then [`Coordinator::saved`].
     Save {
-        part: u16,
+        shard: u16,
         ticket: u64,
         records: Vec<Bytes>,
     },
     /// In place of all that the log holds; then [`Coordinator::saved`]. The first `implied` follow from what it holds: the others,
     /// appended, do as well. The records are encoded while they are written.
     Rewrite {
-        part: u16,
+        shard: u16,
         ticket: u64,
         records: Records,
         implied: usize,
@@ -91,7 +91,7 @@
     Reports(Vec<WorkerReport>),
     /// An item of a batch job to be run at a worker; then [`Coordinator::ran`].
     Run {
-        part: u16,
+        shard: u16,
         next: rainlug_batch::Next,
     },
     /// Something that staff may want to know.
--- a/crates/coordinator/src/lots_part.rs
+++ b/crates/coordinator/src/batch_shard.rs
@@ -6,9 +6,9 @@
 use rainlug_registry::Kind;
 
 use crate::invariants::Invariant;
-use crate::part::{Machine, Wanted};
 use crate::quota::Submitting;
-use crate::{Answer, Coordinator, Effect, Origin, part_of_lot, room};
+use crate::shard::{Machine, Wanted};
+use crate::{Answer, Coordinator, Effect, Origin, capacity, shard_of_job};
 
 /// Items that a leader has running, at most; which of them find room at workers is decided by each pick.
 const RUNNING: usize = 512;
@@ -24,19 +24,19 @@
 const FORGET: Time = 20 * SECOND;
 
 impl Coordinator {
-    pub(crate) fn submit(&mut self, number: u16, origin: Origin, lot: String, route: String, body: Bytes) {
+    pub(crate) fn submit(&mut self, number: u16, origin: Origin, job: String, route: String, body: Bytes) {
         let wall = self.now.wall;
-        let Some(part) = self.parts.get_mut(&number) else { return };
-        if number != part_of_lot(&lot) {
+        let Some(shard) = self.shards.get_mut(&number) else { return };
+        if number != shard_of_job(&job) {
             return self.reply(origin, Answer::of(400));
         }
         // The same one again, before the first is agreed on: one answer for both, and its bytes but once.
-        if let Some(submitting) = part.submitting.get_mut(&lot) {
+        if let Some(submitting) = shard.submitting.get_mut(&job) {
             return submitting.origins.push(origin);
         }
-        let Some(register) = part.register() else { return };
+        let Some(register) = shard.register() else { return };
         // What is in the register is agreed on, whoever leads now.
-        if register.knows(&lot) {
+        if register.knows(&job) {
             return self.reply(origin, Answer::json(202, "{}"));
         }
         let Some(configuration) = &self.configuration else {
@@ -54,12 +54,12 @@
             }
         };
         let tokens = items.iter().fold(0, |sum: u64, item| sum.saturating_add(item.token_count));
-        let bytes = room::job_bytes(body.len(), &items, part.log_use().mean_output());
+        let bytes = capacity::job_bytes(body.len(), &items, shard.log_use().mean_output());
         if let Err(refusal) = self.has_room(number, bytes) {
             return self.refuse(origin, refusal);
         }
         let command = Command::Submit {
-            lot: lot.clone(),
+            job: job.clone(),
             route: route.name.clone(),
             host: route.host.clone(),
             sent: wall,
@@ -72,58 +72,58 @@
         };
         let (route, most) = (route.name.clone(), route.max_queued_tokens);
         let submitting = Submitting::new(route, tokens, bytes, origin, command.encode());
-        self.reserve_tokens(number, &lot, submitting, most);
+        self.reserve_tokens(number, &job, submitting, most);
     }
 
-    pub(crate) fn end(&mut self, number: u16, origin: Origin, lot: String) {
+    pub(crate) fn end(&mut self, number: u16, origin: Origin, job: String) {
         let wall = self.now.wall;
-        let Some(register) = self.parts.get(&number).and_then(|p| p.register()) else { return };
-        if !register.knows(&lot) {
+        let Some(register) = self.shards.get(&number).and_then(|p| p.register()) else { return };
+        if !register.knows(&job) {
             // Only after a round is that sure.
-            return self.read(number, origin, Wanted::Body { lot, item: String::new() });
+            return self.read(number, origin, Wanted::Body { job, item: String::new() });
         }
-        self.propose(number, origin, Command::End { lot, at: wall }.encode());
+        self.propose(number, origin, Command::End { job, at: wall }.encode());
     }
 
-    pub(crate) fn show_lot(&mut self, number: u16, origin: Origin, lot: String, since: u64, until: Time) {
+    pub(crate) fn show_job(&mut self, number: u16, origin: Origin, job: String, since: u64, until: Time) {
         let now = self.now.steady;
-        let Some(part) = self.parts.get_mut(&number) else { return };
-        let Some(register) = part.register() else { return };
-        match register.has_output(&lot, since) {
-            Some(false) if until > now => part.polls.push((origin, lot, since, until)),
+        let Some(shard) = self.shards.get_mut(&number) else { return };
+        let Some(register) = shard.register() else { return };
+        match register.has_output(&job, since) {
+            Some(false) if until > now => shard.polls.push((origin, job, since, until)),
             _ => {
-                let answer = register.read(&lot, since);
+                let answer = register.read(&job, since);
                 self.reply(origin, answer.map_or(Answer::of(404), |(text, _)| Answer::json(200, text)));
             }
         }
     }
 
     /// A command of a part of batch jobs is agreed on; `mine` is who waits for it, and whether it is what was proposed.
-    pub(crate) fn lots_committed(&mut self, number: u16, bytes: &Bytes, mine: Option<(bool, Origin)>) {
-        let Some(part) = self.parts.get_mut(&number) else { return };
-        let Machine::Lots(register) = &mut part.machine else { return };
+    pub(crate) fn jobs_committed(&mut self, number: u16, bytes: &Bytes, mine: Option<(bool, Origin)>) {
+        let Some(shard) = self.shards.get_mut(&number) else { return };
+        let Machine::BatchJobs(register) = &mut shard.machine else { return };
         let Ok(command) = Command::decode(bytes) else {
             return self.violated(Invariant::CommandRead, &format_args!("part {number}"));
         };
-        if let Some(booked) = part.ledger.apply(&command) {
+        if let Some(booked) = shard.quota_ledger.apply(&command) {
             return self.booked(number, booked, mine);
         }
         let applied = register.apply(&command);
         let others = match &command {
-            Command::Submit { lot, .. } => part.submitting.remove(lot).map_or(Vec::new(), |s| s.origins),
+            Command::Submit { job, .. } => shard.submitting.remove(job).map_or(Vec::new(), |s| s.origins),
             _ => Vec::new(),
         };
-        if let Some(reports) = &mut part.reports {
+        if let Some(reports) = &mut shard.reports {
             reports.applied(register, &command);
         }
-        if let Some(schedule) = &mut part.schedule {
+        if let Some(schedule) = &mut shard.schedule {
             schedule.applied(register, &command, applied);
         }
-        if let (Command::List { lot, .. }, Applied::Listed { .. }) = (&command, applied) {
-            let (ready, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut part.polls)
+        if let (Command::List { job, .. }, Applied::Listed { .. }) = (&command, applied) {
+            let (ready, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut shard.polls)
                 .into_iter()
-                .partition(|(_, of, since, _)| of == lot && register.has_output(of, *since) == Some(true));
-            part.polls = rest;
+                .partition(|(_, of, since, _)| of == job && register.has_output(of, *since) == Some(true));
+            shard.polls = rest;
             let ready: Vec<(Origin, String)> = ready
                 .into_iter()
                 .filter_map(|(origin, of, since, _)| Some((origin, register.read(&of, since)?.0)))
@@ -150,16 +150,16 @@
     /// Reads that waited for an output long enough are answered without one.
     pub(crate) fn poll(&mut self) {
         let now = self.now.steady;
-        for number in self.parts.keys().copied().collect::<Vec<u16>>() {
-            let Some(part) = self.parts.get_mut(&number) else { continue };
-            if part.polls.iter().all(|p| p.3 > now) {
+        for number in self.shards.keys().copied().collect::<Vec<u16>>() {
+            let Some(shard) = self.shards.get_mut(&number) else { continue };
+            if shard.polls.iter().all(|p| p.3 > now) {
                 continue;
             }
             let (over, rest): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut part.polls).into_iter().partition(|p| p.3 <= now);
-            part.polls = rest;
-            for (origin, lot, since, until) in over {
-                self.show_lot(number, origin, lot, since, until);
+                std::mem::take(&mut shard.polls).into_iter().partition(|p| p.3 <= now);
+            shard.polls = rest;
+            for (origin, job, since, until) in over {
+                self.show_job(number, origin, job, since, until);
             }
         }
     }
@@ -167,7 +167,7 @@
     /// Begins items where this process leads, and lists what is overdue.
     pub(crate) fn run_items(&mut self) {
         self.poll();
-        for number in self.parts.keys().copied().collect::<Vec<u16>>() {
+        for number in self.shards.keys().copied().collect::<Vec<u16>>() {
             self.begin_item(number);
             self.list_overdue(number);
         }
@@ -175,57 +175,58 @@
 
     fn begin_item(&mut self, number: u16) {
         let (now, wall) = (self.now.steady, self.now.wall);
-        let Some(part) = self.parts.get_mut(&number) else { return };
+        let Some(shard) = self.shards.get_mut(&number) else { return };
         // After each event: nothing is summed up for parts that are not led here, nor while a pause lasts.
-        if part.schedule.is_none() || part.pause > now {
+        if shard.schedule.is_none() || shard.pause > now {
             return;
         }
-        part.pause = 0;
+        shard.pause = 0;
         // What is held back goes on with the next word of a disk or a member.
         if self.holds_items_back(number) {
             return;
         }
-        let Some(part) = self.parts.get_mut(&number) else { return };
-        let (Machine::Lots(register), Some(schedule)) = (&part.machine, part.schedule.as_mut()) else {
+        let Some(shard) = self.shards.get_mut(&number) else { return };
+        let (Machine::BatchJobs(register), Some(schedule)) = (&shard.machine, shard.schedule.as_mut()) else {
             return;
         };
         if schedule.running() < RUNNING
             && let Some(next) = schedule.next(register, wall)
         {
-            self.effects.push(Effect::Run { part: number, next });
+            self.effects.push(Effect::Run { shard: number, next });
             // One at a time: the next one is begun as soon as this one has found its worker.
-            part.pause = now + BETWEEN;
+            shard.pause = now + BETWEEN;
         }
     }
 
     fn list_overdue(&mut self, number: u16) {
         let (now, wall) = (self.now.steady, self.now.wall);
-        let Some(part) = self.parts.get_mut(&number) else { return };
-        let (Machine::Lots(register), Some(schedule)) = (&part.machine, part.schedule.as_mut()) else {
+        let Some(shard) = self.shards.get_mut(&number) else { return };
+        let (Machine::BatchJobs(register), Some(schedule)) = (&shard.machine, shard.schedule.as_mut()) else {
             return;
         };
-        if now - part.swept < SWEEP {
+        if now - shard.swept < SWEEP {
             return;
         }
-        let forget = now / FORGET != part.swept / FORGET;
-        part.swept = now;
+        let forget = now / FORGET != shard.swept / FORGET;
+        shard.swept = now;
         let mut commands = schedule.overdue(register, wall);
         if forget && register.size() > 0 {
-            commands.push(Command::Forget { before: wall - self.info.keep_lots });
+            commands.push(Command::Forget { before: wall - self.info.job_retention });
         }
         self.propose_quietly(number, commands);
     }
 
     /// Proposes commands that nobody waits for. The schedule keeps those that are refused.
     pub(crate) fn propose_quietly(&mut self, number: u16, commands: Vec<Command>) {
-        let Some(part) = self.parts.get_mut(&number) else { return };
+        let Some(shard) = self.shards.get_mut(&number) else { return };
         if commands.is_empty() {
             return;
         }
         for command in commands {
-            let proposed = part.replica.propose(self.now.steady, command.encode());
+            let proposed = shard.replica.propose(self.now.steady, command.encode());
             if proposed.is_err()
-                && let (Machine::Lots(register), Some(schedule)) = (&part.machine, part.schedule.as_mut())
+                && let (Machine::BatchJobs(register), Some(schedule)) =
+                    (&shard.machine, shard.schedule.as_mut())
             {
                 schedule.refused(register, command);
             }
@@ -236,20 +237,20 @@
     pub(crate) fn item_ran(
         &mut self,
         number: u16,
-        lot: &str,
+        job: &str,
         item: &str,
         events: Vec<(u64, Bytes)>,
         end: RunEnd,
     ) {
         let (now, wall) = (self.now.steady, self.now.wall);
-        let Some(part) = self.parts.get_mut(&number) else { return };
-        let (Machine::Lots(register), Some(schedule)) = (&part.machine, part.schedule.as_mut()) else {
+        let Some(shard) = self.shards.get_mut(&number) else { return };
+        let (Machine::BatchJobs(register), Some(schedule)) = (&shard.machine, shard.schedule.as_mut()) else {
             return;
         };
         if end == RunEnd::NoRoom {
-            part.pause = now + NO_ROOM;
+            shard.pause = now + NO_ROOM;
         }
-        if let Some(command) = schedule.ended(register, wall, lot, item, events, end) {
+        if let Some(command) = schedule.ended(register, wall, job, item, events, end) {
             self.propose_quietly(number, vec![command]);
         }
     }
