--- a/crates/coordinator/src/calls.rs
+++ b/crates/coordinator/src/calls.rs
@@ -8,9 +8,9 @@
 use rainlug_registry::Configuration;
 use rand::seq::IndexedRandom;
 
-use crate::frame::{Head, Place, Request, join, split};
+use crate::frame::{Head, PeerAddress, Request, join, split};
 use crate::quota::Reserved;
-use crate::{Answer, CONTROL, Call, Coordinator, Effect, Now, Origin, part_of_lot};
+use crate::{Answer, CONTROL, Call, Coordinator, Effect, Now, Origin, shard_of_job};
 
 /// A try at a leader that is not answered in this time goes to another member.
 const TRY: Time = 4 * SECOND / 10;
@@ -42,12 +42,12 @@
     Caller(u64),
     /// A batch job of this part, which is proposed once its tokens are reserved.
     Reservation {
-        part: u16,
-        lot: String,
+        shard: u16,
+        job: String,
     },
     /// This part's leader, which reports the tokens of a route.
     Report {
-        part: u16,
+        shard: u16,
         route: String,
     },
     /// Another process, which cannot reach the leader itself.
@@ -61,7 +61,7 @@
 
 /// A call that a part's leader has not answered yet.
 pub(crate) struct Ask {
-    pub part: u16,
+    pub shard: u16,
     request: Bytes,
     tail: Bytes,
     goal: Goal,
@@ -111,8 +111,8 @@
     pub fn call(&mut self, now: Now, ticket: u64, call: Call) {
         self.now = now;
         match call {
-            Call::Beat(worker) => self.beat(ticket, worker),
-            Call::Goodbye(id) => self.goodbye(ticket, id),
+            Call::Heartbeat(worker) => self.heartbeat(ticket, worker),
+            Call::Deregister(id) => self.deregister(ticket, id),
             Call::Configure { base, text } => match Configuration::read(&text) {
                 Err(findings) => {
                     let error = findings.to_string().replace('\\', "\\\\").replace('"', "\\\"");
@@ -147,24 +147,24 @@
                 let request = Request::Retiring { store: store.as_str().into() };
                 self.ask(CONTROL, &request, Bytes::new(), Goal::Caller(ticket), PATIENCE, 0, 503);
             }
-            Call::Submit { lot, route, body } => {
-                let request = Request::Submit { lot: lot.as_str().into(), route: route.as_str().into() };
-                let part = part_of_lot(&lot);
-                self.ask(part, &request, body, Goal::Caller(ticket), 3 * SECOND, SUBMIT_SLACK, MAYBE);
+            Call::Submit { job, route, body } => {
+                let request = Request::Submit { job: job.as_str().into(), route: route.as_str().into() };
+                let shard = shard_of_job(&job);
+                self.ask(shard, &request, body, Goal::Caller(ticket), 3 * SECOND, SUBMIT_SLACK, MAYBE);
             }
-            Call::Read { lot, since, wait } => {
+            Call::Read { job, since, wait } => {
                 let wait = wait.clamp(0, 2 * SECOND);
                 let request =
-                    Request::Read { lot: lot.as_str().into(), since, wait_ms: (wait / 1000) as u32 };
-                self.ask_lot(ticket, &lot, &request, wait);
+                    Request::Read { job: job.as_str().into(), since, wait_ms: (wait / 1000) as u32 };
+                self.call_batch_shard(ticket, &job, &request, wait);
             }
-            Call::Body { lot, item } => {
-                let request = Request::Body { lot: lot.as_str().into(), item: item.as_str().into() };
-                self.ask_lot(ticket, &lot, &request, 0);
+            Call::Body { job, item } => {
+                let request = Request::Body { job: job.as_str().into(), item: item.as_str().into() };
+                self.call_batch_shard(ticket, &job, &request, 0);
             }
-            Call::End { lot } => {
-                let request = Request::End { lot: lot.as_str().into() };
-                self.ask_lot(ticket, &lot, &request, 0);
+            Call::End { job } => {
+                let request = Request::End { job: job.as_str().into() };
+                self.call_batch_shard(ticket, &job, &request, 0);
             }
         }
         self.settle();
@@ -175,16 +175,16 @@
     }
 
     /// A call about a batch job goes to the part that it is in.
-    fn ask_lot(&mut self, ticket: u64, lot: &str, request: &Request, wait: Time) {
-        let (part, goal) = (part_of_lot(lot), Goal::Caller(ticket));
-        self.ask(part, request, Bytes::new(), goal, 2 * SECOND + wait, wait, 503);
+    fn call_batch_shard(&mut self, ticket: u64, job: &str, request: &Request, wait: Time) {
+        let (shard, goal) = (shard_of_job(job), Goal::Caller(ticket));
+        self.ask(shard, request, Bytes::new(), goal, 2 * SECOND + wait, wait, 503);
     }
 
     /// Asks a part's leader; one try after the other until the deadline.
     #[allow(clippy::too_many_arguments)]
     pub(crate) fn ask(
         &mut self,
-        part: u16,
+        shard: u16,
         request: &Request,
         tail: Bytes,
         goal: Goal,
@@ -192,13 +192,13 @@
         slack: Time,
         unclear: u16,
     ) {
-        self.ask_encoded(part, join(request, &[]), tail, goal, within, slack, unclear);
+        self.ask_encoded(shard, join(request, &[]), tail, goal, within, slack, unclear);
     }
 
     #[allow(clippy::too_many_arguments)]
     fn ask_encoded(
         &mut self,
-        part: u16,
+        shard: u16,
         request: Bytes,
         tail: Bytes,
         goal: Goal,
@@ -208,11 +208,11 @@
     ) {
         self.nonce += 1;
         let nonce = self.nonce;
-        let leads = self.parts.get(&part).is_some_and(|p| p.replica.leads());
+        let leads = self.shards.get(&shard).is_some_and(|p| p.replica.leads());
         let within =
             if self.is_isolated(self.now) && !leads { within.min(ISOLATED_PATIENCE) } else { within };
         let ask = Ask {
-            part,
+            shard,
             request,
             tail,
             goal,
@@ -238,29 +238,29 @@
     /// Where a part's members hear their peers, as far as this process knows.
     fn seats(&self, number: u16) -> Vec<SocketAddr> {
         let known: Vec<SocketAddr> = if number == CONTROL {
-            self.roster.core.iter().map(|s| s.at.into()).collect()
+            self.topology.core.iter().map(|s| s.at.into()).collect()
         } else {
-            let group = self.roster.groups.iter().find(|g| g.part == number);
+            let group = self.topology.groups.iter().find(|g| g.shard == number);
             group.map(|g| g.members.iter().map(|s| s.at.into()).collect()).unwrap_or_default()
         };
         if known.is_empty() && number == CONTROL { self.info.seeds.clone() } else { known }
     }
 
     /// A process that another one's calls may go by: it takes requests, and is none of the core, which may be cut off together.
-    fn relay_for(&mut self, part: u16) -> Option<SocketAddr> {
-        let core: Vec<SocketAddr> = self.roster.core.iter().map(|seat| seat.at.into()).collect();
+    fn relay_for(&mut self, shard: u16) -> Option<SocketAddr> {
+        let core: Vec<SocketAddr> = self.topology.core.iter().map(|seat| seat.at.into()).collect();
         let living = self.living.iter().filter(|(at, (is_gateway, _))| *is_gateway && !core.contains(at));
         let gateways: Vec<SocketAddr> = living.map(|(at, _)| *at).collect();
-        gateways.choose(&mut self.chance).copied().filter(|_| part != CONTROL && self.info.relays)
+        gateways.choose(&mut self.rng).copied().filter(|_| shard != CONTROL && self.info.relays)
     }
 
     /// Sends a call that nobody answered by way of another process, where there is one.
     fn relay(&mut self, nonce: u64) -> bool {
         let now = self.now.steady;
-        let Some(part) = self.asks.get(&nonce).filter(|ask| ask.wants_relay()).map(|ask| ask.part) else {
+        let Some(shard) = self.asks.get(&nonce).filter(|ask| ask.wants_relay()).map(|ask| ask.shard) else {
             return false;
         };
-        let Some(relay) = self.relay_for(part) else { return false };
+        let Some(relay) = self.relay_for(shard) else { return false };
         let Some(ask) = self.asks.get_mut(&nonce) else { return false };
         let milliseconds = |time: Time| u32::try_from(time.max(0) / 1_000).unwrap_or(u32::MAX);
         let (within, slack, unclear) = (ask.deadline - now, ask.slack, ask.unclear);
@@ -268,7 +268,7 @@
         (ask.to, ask.try_at) = (Some(relay), now + TRY + slack);
         (ask.is_sent, ask.is_locating) = (true, false);
         ask.tries += 1;
-        let head = Head::Relay { nonce, part, within_ms, slack_ms, unclear };
+        let head = Head::Relay { nonce, shard, within_ms, slack_ms, unclear };
         let (head, tail) = (join(&head, &ask.request), ask.tail.clone());
         self.effects.push(Effect::Frame { to: relay, head, tail });
         true
@@ -276,11 +276,11 @@
 
     /// Another process's call, which is asked on here.
     pub(crate) fn relayed(&mut self, from: SocketAddr, head: &Head, request: Bytes, tail: Bytes) {
-        let Head::Relay { nonce, part, within_ms, slack_ms, unclear } = *head else { return };
+        let Head::Relay { nonce, shard, within_ms, slack_ms, unclear } = *head else { return };
         let time = |milliseconds: u32| Time::from(milliseconds) * 1_000;
         let within = time(within_ms).min(RELAYED_WITHIN);
         let goal = Goal::Relayed { to: from, nonce };
-        self.ask_encoded(part, request, tail, goal, within, time(slack_ms).min(within), unclear);
+        self.ask_encoded(shard, request, tail, goal, within, time(slack_ms).min(within), unclear);
     }
 
     fn attempt(&mut self, nonce: u64) {
@@ -288,8 +288,8 @@
         if self.relay(nonce) {
             return;
         }
-        let Some(number) = self.asks.get(&nonce).map(|a| a.part) else { return };
-        let led = self.parts.get(&number).filter(|p| p.replica.leads()).map(|_| self.info.at);
+        let Some(number) = self.asks.get(&nonce).map(|a| a.shard) else { return };
+        let led = self.shards.get(&number).filter(|p| p.replica.leads()).map(|_| self.info.at);
         let silent = self.asks.get(&nonce).and_then(|a| a.silent);
         // Who is known to be gone, or has just not answered, is asked only where nobody else is left.
         let (mut seats, all) = (self.seats(number), self.seats(number));
@@ -319,7 +319,7 @@
                 self.serve(Origin::Own(nonce), number, request, tail);
             }
         } else {
-            let head = join(&Head::Ask { nonce, part: number }, &request);
+            let head = join(&Head::Ask { nonce, shard: number }, &request);
             self.effects.push(Effect::Frame { to, head, tail });
         }
     }
@@ -338,8 +338,8 @@
                 continue;
             }
             // Who was tried and is silent is no good hint.
-            if ask.to.is_some() && self.hints.get(&ask.part) == ask.to.as_ref() {
-                self.hints.remove(&ask.part);
+            if ask.to.is_some() && self.hints.get(&ask.shard) == ask.to.as_ref() {
+                self.hints.remove(&ask.shard);
             }
             (ask.hops, ask.confirmed) = (0, None);
             ask.is_unresolved |= ask.to.is_some() && !ask.is_locating;
@@ -355,24 +355,24 @@
         let breaks_promise = ask.is_unresolved && PROMISES.contains(&answer.status);
         let answer = if breaks_promise && ask.unclear == MAYBE { Answer::of(MAYBE) } else { answer };
         if let Some(to) = ask.to.filter(|_| answer.status != ask.unclear) {
-            self.hints.insert(ask.part, to);
+            self.hints.insert(ask.shard, to);
         }
         if ask.unclear == MAYBE && !matches!(answer.status, 200..300 | 429) {
             let waited = (self.now.steady - ask.begun) / 1_000;
-            let text = format!("{} of part {}, {} tries, {waited} ms", answer.status, ask.part, ask.tries);
+            let text = format!("{} of part {}, {} tries, {waited} ms", answer.status, ask.shard, ask.tries);
             self.effects.push(Effect::Log("job not taken", text));
         }
         match ask.goal {
             Goal::Caller(ticket) => self.answer(ticket, answer),
             Goal::Relayed { to, nonce } => self.reply(Origin::Remote { to, nonce }, answer),
             Goal::Nobody => {}
-            Goal::Reservation { part, lot } => {
+            Goal::Reservation { shard, job } => {
                 // This process may have stood still: its reservation may be released by now.
                 let is_late = self.now.steady > ask.deadline;
                 let answer = if is_late { Answer::later(503, SECOND / 5) } else { answer };
-                self.reservations.push_back(Reserved { part, lot, answer });
+                self.reservations.push_back(Reserved { shard, job, answer });
             }
-            Goal::Report { part, route } => self.reported(part, &route, answer.status == 200),
+            Goal::Report { shard, route } => self.reported(shard, &route, answer.status == 200),
         }
     }
 
@@ -395,21 +395,21 @@
             return;
         }
         ask.silent_tries = 0;
-        let part = ask.part;
+        let shard = ask.shard;
         ask.hops += 1;
         let is_found = ask.is_locating && leader == Some(from);
         ask.confirmed = leader.filter(|_| is_found);
         match leader.filter(|l| is_found || *l != from && Some(*l) != ask.silent && ask.hops <= 3) {
             Some(leader) => {
-                self.hints.insert(part, leader);
+                self.hints.insert(shard, leader);
                 self.attempt(nonce);
             }
             None => {
                 ask.hops = 0;
                 ask.try_at = now + PAUSE;
                 ask.to = None;
-                if self.hints.get(&part) == Some(&from) {
-                    self.hints.remove(&part);
+                if self.hints.get(&shard) == Some(&from) {
+                    self.hints.remove(&shard);
                 }
             }
         }
@@ -450,12 +450,12 @@
 
     fn send_on(&mut self, number: u16, origin: Origin, proposed: bool) {
         // One that is elected and may not serve yet does not name itself.
-        let replica = self.parts.get(&number).map(|part| &part.replica);
+        let replica = self.shards.get(&number).map(|shard| &shard.replica);
         let leader = replica.filter(|r| r.leads() || !r.is_elected()).and_then(|r| r.leader()).map(|m| m.at);
         match origin {
             Origin::Own(nonce) => self.elsewhere(nonce, self.info.at, leader),
             Origin::Remote { to, nonce } => {
-                let leader = leader.map_or(Place { ip: [0; 4], port: 0 }, Place::from);
+                let leader = leader.map_or(PeerAddress { ip: [0; 4], port: 0 }, PeerAddress::from);
                 let head = Head::Elsewhere { nonce, proposed: u8::from(proposed), leader };
                 self.effects.push(Effect::Frame { to, head: join(&head, &[]), tail: Bytes::new() });
             }
--- a/crates/coordinator/src/room.rs
+++ b/crates/coordinator/src/capacity.rs
@@ -59,7 +59,7 @@
 
 /// A part's log on this process's disk.
 #[derive(Debug, Default)]
-pub struct PartDisk {
+pub struct ShardDisk {
     /// Bytes of the file.
     pub length: u64,
     /// Tickets that are to be saved, and since when.
@@ -68,11 +68,11 @@
     rewrite_asked: Option<Time>,
 }
 
-impl PartDisk {
+impl ShardDisk {
     /// A log that holds these records.
     pub fn of(records: &[Bytes]) -> Self {
         let length = records.iter().map(|record| record.len() as u64).sum();
-        PartDisk { length, ..PartDisk::default() }
+        ShardDisk { length, ..ShardDisk::default() }
     }
 
     /// Records up to a ticket are handed to the disk.
@@ -189,7 +189,7 @@
 
 /// What one part on this process has in use.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PartUse {
+pub struct ShardUsage {
     pub log: LogUse,
     /// It is led here: members with an empty disk are filled from here.
     pub is_led: bool,
@@ -198,16 +198,16 @@
 /// What is in use of a process's bounds.
 #[derive(Clone, Debug, Default)]
 pub struct Usage {
-    pub parts: Vec<PartUse>,
+    pub shards: Vec<ShardUsage>,
     /// Bytes of batch jobs that are proposed, with their outputs to come.
     pub proposed: u64,
     /// Parts that this process may come to have once stores are lost and their seats move; no fewer than it has.
-    pub parts_to_bear: u64,
+    pub shards_to_absorb: u64,
 }
 
 impl Usage {
     fn sum(&self, bytes: impl Fn(&LogUse) -> u64) -> u64 {
-        self.parts.iter().fold(0, |sum, part| sum.saturating_add(bytes(&part.log)))
+        self.shards.iter().fold(0, |sum, shard| sum.saturating_add(bytes(&shard.log)))
     }
 
     /// Bytes of all files.
@@ -223,14 +223,14 @@
     /// So many bytes of the parts that are here, if this process had all that it may come to have, each as large as these in the
     /// mean.
     fn borne(&self, bytes: u64) -> u64 {
-        let here = (self.parts.len() as u64).max(1);
-        let scaled = u128::from(bytes) * u128::from(self.parts_to_bear.max(here)) / u128::from(here);
+        let here = (self.shards.len() as u64).max(1);
+        let scaled = u128::from(bytes) * u128::from(self.shards_to_absorb.max(here)) / u128::from(here);
         u64::try_from(scaled).unwrap_or(u64::MAX)
     }
 
     /// Bytes of the state of the largest part.
     fn largest_state(&self) -> u64 {
-        self.parts.iter().map(|part| part.log.rewritten).max().unwrap_or(0)
+        self.shards.iter().map(|shard| shard.log.rewritten).max().unwrap_or(0)
     }
 
     /// Bytes that will come for what is accepted or proposed.
@@ -246,8 +246,8 @@
 
     /// Bytes of the state of parts led here, once all accepted is listed. Proposals are made by leaders only.
     fn led_bytes(&self) -> u64 {
-        let led = self.parts.iter().filter(|part| part.is_led);
-        let bytes = led.map(|part| part.log.rewritten.saturating_add(part.log.outputs_to_come()));
+        let led = self.shards.iter().filter(|shard| shard.is_led);
+        let bytes = led.map(|shard| shard.log.rewritten.saturating_add(shard.log.outputs_to_come()));
         bytes.fold(self.proposed, u64::saturating_add)
     }
 }
@@ -278,8 +278,8 @@
     }
 
     /// Bytes of memory that the state of so many parts may take.
-    pub fn memory_limit(&self, parts: usize) -> u64 {
-        let tails = (parts as u64).saturating_mul(lag_bytes(self.disk_bytes as usize) as u64);
+    pub fn memory_limit(&self, shards: usize) -> u64 {
+        let tails = (shards as u64).saturating_mul(lag_bytes(self.disk_bytes as usize) as u64);
         let free = self.memory_bytes.saturating_sub(BASE_MEMORY).saturating_sub(tails);
         (free - free / ALLOCATOR_SHARE).max(self.memory_bytes / LEAST_MEMORY_SHARE)
     }
@@ -335,8 +335,8 @@
         let on_disk = usage.borne(usage.file_bytes().saturating_add(usage.to_come()).saturating_add(job));
         // A member that lags takes a leader's snapshot beside its old file, as a rewrite does.
         let on_disk = on_disk.saturating_add(usage.largest_state());
-        let parts = usage.parts.len().max(usage.parts_to_bear as usize);
-        if usage.borne(usage.memory_bytes().saturating_add(job)) > self.memory_limit(parts) {
+        let shards = usage.shards.len().max(usage.shards_to_absorb as usize);
+        if usage.borne(usage.memory_bytes().saturating_add(job)) > self.memory_limit(shards) {
             return Err(Refusal::Memory);
         }
         if on_disk > self.disk_limit() {
@@ -352,7 +352,7 @@
     /// they may, the disk would make the rewrite, and its copy fits beside all files.
     pub fn is_rewrite_due(&self, usage: &Usage, log: &LogUse) -> bool {
         let files = usage.file_bytes();
-        let limit = self.disk_limit().min(self.memory_limit(usage.parts.len()));
+        let limit = self.disk_limit().min(self.memory_limit(usage.shards.len()));
         let is_crowded = files.saturating_add(usage.to_come()) > limit / CROWDED_SHARE;
         let fits = files.saturating_add(log.rewritten) <= self.disk_limit();
         is_crowded && fits && log.is_rewrite_made(files > self.disk_bytes / 2)
@@ -360,9 +360,9 @@
 }
 
 /// Parts that the fullest of so many stores has once `lost` of them are lost, where seats go to those that have the fewest.
-pub fn parts_to_bear(parts: u64, members: u64, stores: u64, lost: u64) -> u64 {
+pub fn shards_to_absorb(shards: u64, members: u64, stores: u64, lost: u64) -> u64 {
     let left = stores.saturating_sub(lost).max(1);
-    (parts * members).div_ceil(left).min(parts)
+    (shards * members).div_ceil(left).min(shards)
 }
 
 /// How many batch jobs were not taken, by the reason.
--- a/crates/coordinator/src/control.rs
+++ b/crates/coordinator/src/control.rs
@@ -8,8 +8,8 @@
 use rainlug_consensus::{Member, MemberId};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::frame::{DecodeError, Seat, Text, join, split};
-use crate::roster::{PartGroup, Roster, StoreSeat, members, seats};
+use crate::frame::{DecodeError, MemberRecord, Text, join, split};
+use crate::topology::{ShardReplicaSet, StoreRecord, Topology, members, seats};
 
 /// So many accepted versions are remembered, to know a configuration that is sent again.
 const REMEMBERED: usize = 4096;
@@ -30,13 +30,13 @@
     #[deku(id = "0")]
     Configure { base: u64, version: u64 },
     #[deku(id = "1")]
-    Store { seat: Seat },
+    Store { seat: MemberRecord },
     #[deku(id = "2")]
     Retire { store: Text },
     /// The first group of a part, or how it stands now.
     #[deku(id = "3")]
     Seated {
-        part: u16,
+        shard: u16,
         term: u64,
         /// The group is as of this entry of the part's log, or a later one; 0 for the first group.
         index: u64,
@@ -44,7 +44,7 @@
         retirements: u32,
         count: u16,
         #[deku(count = "count")]
-        seats: Vec<Seat>,
+        seats: Vec<MemberRecord>,
     },
     /// The disk has no part in breaking a tie from now on.
     #[deku(id = "4")]
@@ -109,7 +109,7 @@
     versions: u32,
     #[deku(count = "versions")]
     accepted: Vec<Pair>,
-    roster: Roster,
+    topology: Topology,
 }
 
 #[derive(DekuRead, DekuWrite)]
@@ -121,9 +121,9 @@
 
 impl Change {
     /// A part's first group, to be agreed on.
-    pub fn founded(part: u16, members: &[Member]) -> Self {
+    pub fn founded(shard: u16, members: &[Member]) -> Self {
         let seats = seats(members);
-        Change::Seated { part, term: 0, index: 0, retirements: 0, count: seats.len() as u16, seats }
+        Change::Seated { shard, term: 0, index: 0, retirements: 0, count: seats.len() as u16, seats }
     }
 }
 
@@ -138,8 +138,8 @@
                 Outcome::Done
             }
             Change::Retire { store } => self.retire(store.to_str()?),
-            Change::Seated { part, term, index, retirements, seats, .. } => {
-                self.seat(part, (term, index), retirements, members(&seats)?);
+            Change::Seated { shard, term, index, retirements, seats, .. } => {
+                self.seat(shard, (term, index), retirements, members(&seats)?);
                 Outcome::Done
             }
             Change::Fence { disk } => {
@@ -172,12 +172,12 @@
         Outcome::Done
     }
 
-    fn seat(&mut self, part: u16, at: (u64, u64), retirements: u32, members: Vec<Member>) {
+    fn seat(&mut self, shard: u16, at: (u64, u64), retirements: u32, members: Vec<Member>) {
         let (term, index) = at;
-        match self.groups.get_mut(&part) {
+        match self.groups.get_mut(&shard) {
             None => {
                 let founding = members.clone();
-                self.groups.insert(part, Group { founding, term, index, retirements, members });
+                self.groups.insert(shard, Group { founding, term, index, retirements, members });
             }
             // A founding that came twice, or word of a leader before.
             Some(group) if term <= group.term && (term == 0 || term < group.term) => {}
@@ -241,12 +241,12 @@
     }
 
     /// The roster, with the configuration's own group.
-    pub fn roster(&self, core: &[Member]) -> Roster {
-        let seat = |store: &Store| StoreSeat { seat: (&store.member).into(), retirement: store.retirement };
+    pub fn topology(&self, core: &[Member]) -> Topology {
+        let seat = |store: &Store| StoreRecord { seat: (&store.member).into(), retirement: store.retirement };
         let stores = self.stores.values().map(seat).collect();
-        let listed = |(part, group): (&u16, &Group)| {
-            PartGroup::new(
-                *part,
+        let listed = |(shard, group): (&u16, &Group)| {
+            ShardReplicaSet::new(
+                *shard,
                 (group.term, group.index),
                 group.retirements,
                 seats(&group.founding),
@@ -254,7 +254,7 @@
             )
         };
         let groups = self.groups.iter().map(listed).collect();
-        Roster::new(seats(core), stores, groups, self.retirements, self.fenced.clone())
+        Topology::new(seats(core), stores, groups, self.retirements, self.fenced.clone())
     }
 
     /// Bytes of its snapshot, about.
@@ -265,8 +265,8 @@
     pub fn snapshot(&self) -> Bytes {
         let accepted = self.accepted.iter().map(|(version, hash)| Pair { version: *version, hash: *hash });
         let accepted: Vec<Pair> = accepted.collect();
-        let roster = self.roster(&[]);
-        let image = Image { version: self.version, versions: accepted.len() as u32, accepted, roster };
+        let topology = self.topology(&[]);
+        let image = Image { version: self.version, versions: accepted.len() as u32, accepted, topology };
         join(&image, &self.text)
     }
 
@@ -276,18 +276,18 @@
         let (image, text): (Image, Bytes) = split(bytes)?;
         let mut control = Control { version: image.version, text, ..Control::default() };
         control.accepted = image.accepted.iter().map(|p| (p.version, p.hash)).collect();
-        for store in &image.roster.stores {
+        for store in &image.topology.stores {
             let member = store.seat.member()?;
             control.stores.insert(member.name.clone(), Store { member, retirement: store.retirement });
         }
-        for group in &image.roster.groups {
+        for group in &image.topology.groups {
             let (founding, seated) = (members(&group.founding)?, members(&group.members)?);
             let (term, index, retirements) = (group.term, group.index, group.retirements);
             let seated = Group { founding, term, index, retirements, members: seated };
-            control.groups.insert(group.part, seated);
+            control.groups.insert(group.shard, seated);
         }
-        control.retirements = image.roster.retirements;
-        control.fenced = image.roster.fenced;
+        control.retirements = image.topology.retirements;
+        control.fenced = image.topology.fenced;
         Ok(control)
     }
 }
--- a/crates/coordinator/src/diagnostics.rs
+++ b/crates/coordinator/src/diagnostics.rs
@@ -38,27 +38,27 @@
     }
 
     fn report_elections(&mut self) {
-        for (number, part) in &self.parts {
-            let leader = part.replica.leader();
+        for (number, shard) in &self.shards {
+            let leader = shard.replica.leader();
             let election = Election {
-                term: part.replica.term(),
+                term: shard.replica.term(),
                 leader: leader.map(|member| member.id),
-                is_elected: part.replica.is_elected(),
+                is_elected: shard.replica.is_elected(),
             };
             if self.diagnostics.elections.insert(*number, election) == Some(election) {
                 continue;
             }
             let leader =
                 leader.map_or("nobody".to_owned(), |member| format!("{}@{}", member.name, member.at));
-            let uncommitted = part.replica.uncommitted();
+            let uncommitted = shard.replica.uncommitted();
             let text = format!("part {number}, term {}: {leader}, {uncommitted} uncommitted", election.term);
             self.effects.push(Effect::Log("election", text));
         }
     }
 
     fn report_lag(&mut self) {
-        for (number, part) in self.parts.iter().filter(|(_, part)| part.replica.is_elected()) {
-            let behind = part.replica.behind();
+        for (number, shard) in self.shards.iter().filter(|(_, shard)| shard.replica.is_elected()) {
+            let behind = shard.replica.behind();
             let lagging: Vec<String> = behind
                 .iter()
                 .filter(|(_, lacks)| *lacks > LAG_WORTH_TELLING)
--- a/crates/coordinator/src/news.rs
+++ b/crates/coordinator/src/dissemination.rs
@@ -8,7 +8,7 @@
 use rainlug_registry::{Configuration, Phase, Worker, gossip};
 
 use crate::frame::{Head, join};
-use crate::roster::Roster;
+use crate::topology::Topology;
 use crate::{Answer, Coordinator, Effect, Origin};
 
 /// An answer that waits until its news has spread.
@@ -67,7 +67,7 @@
     pub(crate) fn told_news(&mut self, workers: Vec<Worker>, texts: Vec<(u8, u64, Bytes)>) {
         for worker in workers {
             if worker.phase >= Phase::Draining {
-                self.beats.remove(&worker.id);
+                self.heartbeats.remove(&worker.id);
             }
             self.effects.push(Effect::Worker(worker));
         }
@@ -84,10 +84,10 @@
                     }
                 },
                 gossip::GROUPS => {
-                    if let Ok(roster) = Roster::decode(&text) {
-                        (self.roster, self.roster_version) = (roster, version);
+                    if let Ok(topology) = Topology::decode(&text) {
+                        (self.topology, self.topology_version) = (topology, version);
                         self.founded();
-                        self.fence_parts();
+                        self.fence_shards();
                         self.renew_fenced_disk();
                     }
                 }
@@ -115,7 +115,7 @@
     /// Whether a majority of the core has a worker's last news. Each process in contact with the core hears of it then; without this a
     /// side that is cut off could acknowledge a worker's end that the other side does not know.
     pub(crate) fn is_known_to_core(&self, worker: &str) -> bool {
-        let core = &self.roster.core;
+        let core = &self.topology.core;
         let known = core.iter().filter(|seat| {
             let at: SocketAddr = seat.at.into();
             at == self.info.at || self.gossip.is_worker_known_to(worker, at)
--- a/crates/coordinator/src/frame.rs
+++ b/crates/coordinator/src/frame.rs
@@ -39,23 +39,23 @@
 /// An address of a peer: IPv4 and port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(ctx = "endian: deku::ctx::Endian", ctx_default = "deku::ctx::Endian::Little", endian = "endian")]
-pub struct Place {
+pub struct PeerAddress {
     pub ip: [u8; 4],
     pub port: u16,
 }
 
-impl From<std::net::SocketAddr> for Place {
+impl From<std::net::SocketAddr> for PeerAddress {
     fn from(at: std::net::SocketAddr) -> Self {
         let ip = match at.ip() {
             std::net::IpAddr::V4(ip) => ip.octets(),
             std::net::IpAddr::V6(_) => [0; 4],
         };
-        Place { ip, port: at.port() }
+        PeerAddress { ip, port: at.port() }
     }
 }
 
-impl From<Place> for std::net::SocketAddr {
-    fn from(place: Place) -> Self {
+impl From<PeerAddress> for std::net::SocketAddr {
+    fn from(place: PeerAddress) -> Self {
         (place.ip, place.port).into()
     }
 }
@@ -63,20 +63,20 @@
 /// A member of a group on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(ctx = "endian: deku::ctx::Endian", ctx_default = "deku::ctx::Endian::Little", endian = "endian")]
-pub struct Seat {
+pub struct MemberRecord {
     pub id: u64,
     pub name: Text,
     pub zone: Text,
-    pub at: Place,
+    pub at: PeerAddress,
 }
 
-impl From<&rainlug_consensus::Member> for Seat {
+impl From<&rainlug_consensus::Member> for MemberRecord {
     fn from(m: &rainlug_consensus::Member) -> Self {
-        Seat { id: m.id, name: m.name.as_str().into(), zone: m.zone.as_str().into(), at: m.at.into() }
+        MemberRecord { id: m.id, name: m.name.as_str().into(), zone: m.zone.as_str().into(), at: m.at.into() }
     }
 }
 
-impl Seat {
+impl MemberRecord {
     pub fn member(&self) -> Result<rainlug_consensus::Member, DecodeError> {
         Ok(rainlug_consensus::Member {
             id: self.id,
@@ -96,10 +96,10 @@
     Gossip,
     /// Of a part's group.
     #[deku(id = "1")]
-    Group { part: u16 },
+    Group { shard: u16 },
     /// A call to a part's leader; the tail is the request.
     #[deku(id = "2")]
-    Ask { nonce: u64, part: u16 },
+    Ask { nonce: u64, shard: u16 },
     /// Its answer; the tail is the body.
     #[deku(id = "3")]
     Answer { nonce: u64, status: u16, retry_ms: u32, json: u8 },
@@ -109,11 +109,11 @@
         nonce: u64,
         /// Not 0 where it was proposed first, and may be committed yet.
         proposed: u8,
-        leader: Place,
+        leader: PeerAddress,
     },
     /// A call to a part's leader by way of the receiver, which asks on; the tail is as with [`Head::Ask`].
     #[deku(id = "5")]
-    Relay { nonce: u64, part: u16, within_ms: u32, slack_ms: u32, unclear: u16 },
+    Relay { nonce: u64, shard: u16, within_ms: u32, slack_ms: u32, unclear: u16 },
 }
 
 /// What is asked of a part's leader.
@@ -131,14 +131,14 @@
     Retiring { store: Text },
     /// A disk of the core would have a seat.
     #[deku(id = "4")]
-    Join { seat: Seat },
+    Join { seat: MemberRecord },
     /// A store is there.
     #[deku(id = "5")]
-    Shelve { seat: Seat },
+    Shelve { seat: MemberRecord },
     /// A part's group as it stands committed.
     #[deku(id = "6")]
     Seated {
-        part: u16,
+        shard: u16,
         term: u64,
         /// The group is as of this entry of the part's log, or a later one.
         index: u64,
@@ -146,23 +146,23 @@
         retirements: u32,
         count: u16,
         #[deku(count = "count")]
-        seats: Vec<Seat>,
+        seats: Vec<MemberRecord>,
     },
     /// Who leads the part: asked before a long tail is sent.
     #[deku(id = "7")]
     Locate,
     /// Of a part of batch jobs. The tail is the body as the client sent it.
     #[deku(id = "16")]
-    Submit { lot: Text, route: Text },
+    Submit { job: Text, route: Text },
     #[deku(id = "17")]
-    Read { lot: Text, since: u64, wait_ms: u32 },
+    Read { job: Text, since: u64, wait_ms: u32 },
     #[deku(id = "18")]
-    Body { lot: Text, item: Text },
+    Body { job: Text, item: Text },
     #[deku(id = "19")]
-    End { lot: Text },
+    End { job: Text },
     /// Of a route's ledger: tokens of a batch job of `part`, before it is proposed there.
     #[deku(id = "20")]
-    Reserve { lot: Text, route: Text, part: u16, tokens: u64, most: u64 },
+    Reserve { job: Text, route: Text, shard: u16, tokens: u64, most: u64 },
     /// Of a route's ledger. The tail is the command that settles, but for its time.
     #[deku(id = "21")]
     Settle,
--- a/crates/coordinator/src/info.rs
+++ b/crates/coordinator/src/info.rs
@@ -28,7 +28,7 @@
     /// Machines with a disk that may be lost at once.
     pub tolerate: usize,
     /// Between two beats of a worker.
-    pub beat: Time,
+    pub heartbeat: Time,
     /// What its disk holds, in bytes.
     pub disk_bytes: usize,
     /// The memory that it may take, in bytes.
@@ -40,7 +40,7 @@
     /// Whether calls that nobody answers go by another process; experiments leave that out.
     pub relays: bool,
     /// How long batch jobs are kept after they were sent.
-    pub keep_lots: Time,
+    pub job_retention: Time,
     pub seed: u64,
 }
 
--- a/crates/coordinator/src/invariants.rs
+++ b/crates/coordinator/src/invariants.rs
@@ -3,7 +3,7 @@
 
 use std::fmt;
 
-use rainlug_consensus::{MOST_HANDED_BYTES, Output, Restore};
+use rainlug_consensus::{MAX_APPLY_BYTES, Output, Restore};
 
 use crate::{Coordinator, Effect};
 
@@ -81,17 +81,17 @@
 
     /// What a replica has handed the state machine in one step is bounded, but for a single long command or piece.
     pub(crate) fn check_step(&mut self, output: &Output) {
-        let pieces = output.restore.iter().map(|step| match step {
-            Restore::Piece(piece) => piece.len(),
+        let chunks = output.restore.iter().map(|step| match step {
+            Restore::Chunk(chunk) => chunk.len(),
             Restore::Begin | Restore::Abandon | Restore::Finish(_) => 0,
         });
         let commands = output.committed.iter().map(|(_, command)| command.len());
         let (mut bytes, mut longest) = (0, 0);
-        for length in pieces.chain(commands) {
+        for length in chunks.chain(commands) {
             bytes += length;
             longest = longest.max(length);
         }
-        let holds = bytes <= MOST_HANDED_BYTES || bytes == longest;
+        let holds = bytes <= MAX_APPLY_BYTES || bytes == longest;
         self.check(Invariant::StepBounded, holds, || format!("{bytes} bytes at once"));
     }
 
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -4,27 +4,27 @@
 
 mod admission;
 mod api;
+mod batch_shard;
 mod calls;
+pub mod capacity;
 pub mod control;
 mod diagnostics;
-mod duties;
+mod dissemination;
 pub mod frame;
 mod info;
 pub mod invariants;
 pub mod listing;
-mod lots_part;
+mod lost_membership;
 mod machine;
+mod maintenance;
 mod membership;
-mod news;
-mod part;
 mod quota;
+mod replica_placement;
 mod reports;
-pub mod room;
-pub mod roster;
-mod seats;
 mod serving;
-mod vacating;
-mod workers;
+mod shard;
+pub mod topology;
+mod worker_calls;
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -43,12 +43,12 @@
 pub use api::{Answer, Call, Effect, Now};
 pub use info::{KEEP_SLACK, NodeInfo};
 
+use dissemination::{Held, News, Sink};
 use frame::{DecodeError, Head, Request, split};
 use membership::COMPARING;
-use news::{Held, News, Sink};
-use part::Part;
 use quota::Reserved;
-use roster::Roster;
+use shard::Shard;
+use topology::Topology;
 
 /// The part that holds the configuration.
 pub const CONTROL: u16 = 0;
@@ -58,10 +58,10 @@
 /// nine to twelve stores about twice; six would spread an emptied store's refill over more leaders yet. But each part costs
 /// heartbeats, and a sync of its own for what it writes, and the smallest deployments have three stores with three seats for
 /// each part: there six parts would only cost twice as much as three, and four are not much above.
-pub const PARTS: u16 = 4;
+pub const BATCH_SHARDS: u16 = 4;
 /// A part's log is rewritten, at the earliest, at one in so many of the disk's bytes: where a store has a seat in each part, all
 /// logs together take a quarter of its disk before that.
-const LOGS_OF_A_DISK: usize = 4 * PARTS as usize;
+const LOGS_OF_A_DISK: usize = 4 * BATCH_SHARDS as usize;
 /// Between two looks at the duties.
 const BEAT: Time = SECOND / 5;
 /// The others of a new group stand for election so much later than its first one.
@@ -79,13 +79,13 @@
 }
 
 /// The part that a route's ledger is in: there the tokens of its batch jobs are counted.
-pub fn part_of(route: &str) -> u16 {
-    1 + (xxh3_64_with_seed(route.as_bytes(), 0) % u64::from(PARTS)) as u16
+pub fn shard_of_route(route: &str) -> u16 {
+    1 + (xxh3_64_with_seed(route.as_bytes(), 0) % u64::from(BATCH_SHARDS)) as u16
 }
 
 /// The part that a batch job is in.
-pub fn part_of_lot(lot: &str) -> u16 {
-    1 + (xxh3_64_with_seed(lot.as_bytes(), 1) % u64::from(PARTS)) as u16
+pub fn shard_of_job(job: &str) -> u16 {
+    1 + (xxh3_64_with_seed(job.as_bytes(), 1) % u64::from(BATCH_SHARDS)) as u16
 }
 
 /// Whom an answer goes to.
@@ -105,7 +105,7 @@
 pub struct Coordinator {
     info: NodeInfo,
     now: Now,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     view: View,
     seen: u64,
     /// Who lives, by where it hears its peers: whether it takes requests, and where it serves workers.
@@ -113,10 +113,10 @@
     /// Since when somebody is not there.
     gone: BTreeMap<SocketAddr, Time>,
     gossip: Gossip,
-    roster: Roster,
-    roster_version: u64,
+    topology: Topology,
+    topology_version: u64,
     configuration: Option<Configuration>,
-    parts: BTreeMap<u16, Part>,
+    shards: BTreeMap<u16, Shard>,
     asks: BTreeMap<u64, calls::Ask>,
     nonce: u64,
     hints: BTreeMap<u16, SocketAddr>,
@@ -126,10 +126,10 @@
     /// Whose duty a service's workers are, as long as the members are the same.
     registrars: RefCell<BTreeMap<String, Option<SocketAddr>>>,
     /// When the workers of services that are this process's duty were last heard.
-    beats: BTreeMap<String, Time>,
+    heartbeats: BTreeMap<String, Time>,
     joiners: BTreeMap<MemberId, (Member, Time)>,
     /// Disks of the core that were seated before, by where they were.
-    duty_at: Time,
+    maintenance_at: Time,
     announce_at: Time,
     shelves_since: Option<Time>,
     /// When it was last caught up with others, after a start, a cut or a freeze.
@@ -149,10 +149,10 @@
 }
 
 /// The figures of a process's card: its role, and the port where it serves workers.
-fn figures(info: &NodeInfo) -> Vec<u8> {
-    let mut figures = vec![u8::from(info.gateway)];
-    figures.extend(info.control.map_or(0, |c| c.port()).to_be_bytes());
-    figures
+fn member_payload(info: &NodeInfo) -> Vec<u8> {
+    let mut payload = vec![u8::from(info.gateway)];
+    payload.extend(info.control.map_or(0, |c| c.port()).to_be_bytes());
+    payload
 }
 
 fn settings(info: &NodeInfo) -> Settings {
@@ -164,7 +164,7 @@
         most_bytes: 128 << 10,
         compact_bytes: (info.disk_bytes / LOGS_OF_A_DISK).clamp(4 << 20, 256 << 20),
         // A snapshot instead takes the room of a second copy at who lags.
-        lag_bytes: room::lag_bytes(info.disk_bytes),
+        lag_bytes: capacity::lag_bytes(info.disk_bytes),
     }
 }
 
@@ -178,38 +178,38 @@
         logs: Vec<(u16, Vec<Bytes>)>,
         now: Now,
     ) -> Result<Self, rainlug_consensus::DecodeError> {
-        let mut chance = ChaCha8Rng::seed_from_u64(info.seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(info.seed);
         let card = Card {
-            id: chance.random::<u64>().max(1),
+            id: rng.random::<u64>().max(1),
             name: info.node.clone(),
             zone: info.zone.clone(),
             at: info.at,
             start: now.wall,
             edition: 0,
-            figures: figures(&info),
+            figures: member_payload(&info),
         };
         let period = 3 * SECOND / 10;
-        let view = View::new(card, info.seeds.clone(), period, Ways::default(), chance.random(), now.steady);
-        let gossip = Gossip::new(SECOND, chance.random(), now.steady);
+        let view = View::new(card, info.seeds.clone(), period, Ways::default(), rng.random(), now.steady);
+        let gossip = Gossip::new(SECOND, rng.random(), now.steady);
         let mut coordinator = Coordinator {
             view,
             seen: 0,
             living: BTreeMap::new(),
             gone: BTreeMap::new(),
             gossip,
-            roster: Roster::default(),
-            roster_version: 0,
+            topology: Topology::default(),
+            topology_version: 0,
             configuration: None,
-            parts: BTreeMap::new(),
+            shards: BTreeMap::new(),
             asks: BTreeMap::new(),
-            nonce: chance.random::<u64>() >> 1,
+            nonce: rng.random::<u64>() >> 1,
             hints: BTreeMap::new(),
             reservations: VecDeque::new(),
             held: Vec::new(),
             registrars: RefCell::default(),
-            beats: BTreeMap::new(),
+            heartbeats: BTreeMap::new(),
             joiners: BTreeMap::new(),
-            duty_at: now.steady,
+            maintenance_at: now.steady,
             announce_at: now.steady,
             shelves_since: None,
             caught_up: None,
@@ -222,7 +222,7 @@
             effects: Vec::new(),
             diagnostics: diagnostics::Diagnostics::default(),
             violations: invariants::Violations::default(),
-            chance,
+            rng,
             info,
             now,
         };
@@ -234,7 +234,7 @@
         let founds = coordinator.info.disk == Some(founding_id(coordinator.info.at))
             && seed
             && coordinator.info.gateway;
-        if founds && !coordinator.parts.contains_key(&CONTROL) {
+        if founds && !coordinator.shards.contains_key(&CONTROL) {
             let founding = coordinator.founders();
             coordinator.open(CONTROL, founding, &[])?;
         }
@@ -266,16 +266,16 @@
         records: &[Bytes],
     ) -> Result<(), rainlug_consensus::DecodeError> {
         let Some(me) = self.me() else { return Ok(()) };
-        let (settings, seed) = (settings(&self.info), self.chance.random());
+        let (settings, seed) = (settings(&self.info), self.rng.random());
         // The first of a new group is to lead it: the leaders of the parts begin at different stores.
         let is_to_lead = founding.first().is_none_or(|first| first.id == me.id);
         let waits = number != CONTROL && records.is_empty() && !is_to_lead;
         let begins = self.now.steady + if waits { HEAD_START } else { 0 };
-        let mut part = Part::open(number, me, founding, settings, records, seed, begins)?;
+        let mut shard = Shard::open(number, me, founding, settings, records, seed, begins)?;
         if number != CONTROL {
-            part.replica.fence(self.now.steady, self.roster.fenced.iter().copied());
+            shard.replica.fence(self.now.steady, self.topology.fenced.iter().copied());
         }
-        self.parts.insert(number, part);
+        self.shards.insert(number, shard);
         Ok(())
     }
 
@@ -286,13 +286,13 @@
 
     /// When [`Coordinator::due`] wants to be called, at the latest, by the steady clock.
     pub fn next(&self) -> Time {
-        let parts = self.parts.values().map(|p| p.replica.next());
+        let shards = self.shards.values().map(|p| p.replica.next());
         let asks = self.asks.values().map(|a| a.next());
         let held = self.held.iter().map(|h| h.until);
-        let polls = self.parts.values().map(|p| p.next_poll());
-        let reports = self.parts.values().filter_map(|p| p.reports.as_ref()).map(|r| r.next());
-        let own = [self.view.next(), self.gossip.next(), self.duty_at];
-        parts.chain(asks).chain(held).chain(polls).chain(reports).chain(own).min().unwrap_or(Time::MAX)
+        let polls = self.shards.values().map(|p| p.next_poll());
+        let reports = self.shards.values().filter_map(|p| p.reports.as_ref()).map(|r| r.next());
+        let own = [self.view.next(), self.gossip.next(), self.maintenance_at];
+        shards.chain(asks).chain(held).chain(polls).chain(reports).chain(own).min().unwrap_or(Time::MAX)
     }
 
     /// Does what its time has come for.
@@ -300,10 +300,10 @@
         let stood_still = now.steady - self.now.steady.max(self.next()) > STOOD_STILL;
         self.now = now;
         // Replicas first: a leader that stood still must know that it may not be one any more.
-        let numbers: Vec<u16> = self.parts.keys().copied().collect();
+        let numbers: Vec<u16> = self.shards.keys().copied().collect();
         for number in numbers {
-            if let Some(part) = self.parts.get_mut(&number).filter(|p| p.replica.next() <= now.steady) {
-                part.replica.due(now.steady);
+            if let Some(shard) = self.shards.get_mut(&number).filter(|p| p.replica.next() <= now.steady) {
+                shard.replica.due(now.steady);
                 self.drain(number);
             }
         }
@@ -320,9 +320,9 @@
         }
         let (workers, texts) = (sink.workers, sink.texts);
         self.told_news(workers, texts);
-        if self.duty_at <= now.steady {
-            self.duty_at = now.steady + BEAT;
-            self.duties();
+        if self.maintenance_at <= now.steady {
+            self.maintenance_at = now.steady + BEAT;
+            self.run_maintenance();
             self.rewrite_where_due();
         }
         self.retry();
@@ -354,10 +354,10 @@
                 let (workers, texts) = (sink.workers, sink.texts);
                 self.told_news(workers, texts);
             }
-            Head::Group { part } => self.group(part, &tail),
-            Head::Ask { nonce, part } => {
+            Head::Group { shard } => self.group(shard, &tail),
+            Head::Ask { nonce, shard } => {
                 let (request, tail) = split(&tail)?;
-                self.serve(Origin::Remote { to: from, nonce }, part, request, tail);
+                self.serve(Origin::Remote { to: from, nonce }, shard, request, tail);
             }
             Head::Relay { .. } => {
                 let (_, rest) = split::<Request>(&tail)?;
@@ -380,20 +380,20 @@
     }
 
     fn group(&mut self, number: u16, bytes: &Bytes) {
-        if self.info.disk.is_none() || self.info.gateway != (number == CONTROL) || number > PARTS {
+        if self.info.disk.is_none() || self.info.gateway != (number == CONTROL) || number > BATCH_SHARDS {
             return;
         }
         // A seat is given by the group. A founder must begin with the founding group, which no entry names: until the roster tells
         // of it, its leader is not heard.
-        if !self.parts.contains_key(&number) {
+        if !self.shards.contains_key(&number) {
             let Some(founding) = self.founding(number) else { return };
             if self.open(number, founding, &[]).is_err() {
                 return;
             }
         }
         let now = self.now.steady;
-        if let Some(part) = self.parts.get_mut(&number) {
-            if part.replica.heard(now, bytes).is_err() {
+        if let Some(shard) = self.shards.get_mut(&number) {
+            if shard.replica.heard(now, bytes).is_err() {
                 self.effects.push(Effect::Log("garbage", format!("of part {number}'s group")));
             }
             self.drain(number);
@@ -406,17 +406,17 @@
         if number == CONTROL {
             return Some(Vec::new());
         }
-        let group = self.roster.groups.iter().find(|g| g.part == number)?;
+        let group = self.topology.groups.iter().find(|g| g.shard == number)?;
         let founder = group.founding.iter().any(|s| Some(s.id) == self.info.disk);
-        if founder { roster::members(&group.founding).ok() } else { Some(Vec::new()) }
+        if founder { topology::members(&group.founding).ok() } else { Some(Vec::new()) }
     }
 
     /// All of a part's records up to a ticket are on the disk, in a file of this length.
     pub fn saved(&mut self, now: Now, number: u16, ticket: u64, length: u64) {
         self.now = now;
-        if let Some(part) = self.parts.get_mut(&number) {
-            part.disk.saved(ticket, length);
-            part.replica.saved(now.steady, ticket);
+        if let Some(shard) = self.shards.get_mut(&number) {
+            shard.disk.saved(ticket, length);
+            shard.replica.saved(now.steady, ticket);
             self.drain(number);
         }
         self.settle();
@@ -426,14 +426,14 @@
     pub fn ran(
         &mut self,
         now: Now,
-        part: u16,
-        lot: &str,
+        shard: u16,
+        job: &str,
         item: &str,
         events: Vec<(u64, Bytes)>,
         end: RunEnd,
     ) {
         self.now = now;
-        self.item_ran(part, lot, item, events, end);
+        self.item_ran(shard, job, item, events, end);
         self.settle();
     }
 
@@ -456,8 +456,8 @@
     }
 
     /// Figures as (name, value).
-    pub fn figures(&self) -> Vec<(String, f64)> {
-        let mut figures = vec![
+    pub fn metrics(&self) -> Vec<(String, f64)> {
+        let mut metrics = vec![
             ("members_living".to_owned(), self.living.len() as f64 + 1.0),
             (
                 "configuration_version".to_owned(),
@@ -466,22 +466,22 @@
             ("workers_known".to_owned(), self.gossip.workers().count() as f64),
             ("calls_in_hand".to_owned(), self.asks.len() as f64),
         ];
-        for part in self.parts.values() {
-            figures.extend(part.figures());
+        for shard in self.shards.values() {
+            metrics.extend(shard.metrics());
         }
         if !self.info.gateway {
-            figures.extend(self.room_figures());
+            metrics.extend(self.room_figures());
         }
-        figures.extend(self.invariant_figures());
-        figures
+        metrics.extend(self.invariant_figures());
+        metrics
     }
 
     /// Who leads a part, as far as this process knows, and the part's members.
     pub fn leads(&self, number: u16) -> (bool, Option<SocketAddr>, Vec<Member>) {
-        let Some(part) = self.parts.get(&number) else {
+        let Some(shard) = self.shards.get(&number) else {
             return (false, self.hints.get(&number).copied(), Vec::new());
         };
-        let leader = part.replica.leader().map(|m| m.at);
-        (part.replica.leads(), leader, part.replica.members().0.to_vec())
+        let leader = shard.replica.leader().map(|m| m.at);
+        (shard.replica.leads(), leader, shard.replica.members().0.to_vec())
     }
 }
--- a/crates/coordinator/src/listing.rs
+++ b/crates/coordinator/src/listing.rs
@@ -7,12 +7,12 @@
 use rainlug_fleet::Standing;
 use rainlug_registry::{Phase, Worker};
 
-use crate::frame::Seat;
-use crate::{CONTROL, Coordinator, PARTS};
+use crate::frame::MemberRecord;
+use crate::{BATCH_SHARDS, CONTROL, Coordinator};
 
 /// A process of the tier.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MemberLine {
+pub struct MemberListing {
     pub name: String,
     pub zone: String,
     /// `gateway` or `store`; empty where it does not say.
@@ -29,7 +29,7 @@
 
 /// A worker, as the gossip has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WorkerLine {
+pub struct WorkerListing {
     pub id: String,
     pub service: String,
     pub zone: String,
@@ -42,7 +42,7 @@
 
 /// A store on the roster.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct StoreLine {
+pub struct StoreListing {
     pub name: String,
     pub zone: String,
     pub peer: SocketAddr,
@@ -50,12 +50,12 @@
     pub standing: &'static str,
     pub retiring: bool,
     /// The parts that it has a seat in.
-    pub parts: Vec<u16>,
+    pub shards: Vec<u16>,
 }
 
 /// A part and its group.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PartLine {
+pub struct ShardListing {
     pub number: u16,
     /// `configuration` or `lots`.
     pub holds: &'static str,
@@ -85,7 +85,7 @@
 
 impl Coordinator {
     /// All processes that this one knows of, itself too, by name.
-    pub fn list_members(&self) -> Vec<MemberLine> {
+    pub fn list_members(&self) -> Vec<MemberListing> {
         let mut lines = Vec::new();
         for member in self.view.members() {
             for (card, stands, since) in member.processes {
@@ -95,7 +95,7 @@
                     }
                     _ => ("", 0),
                 };
-                lines.push(MemberLine {
+                lines.push(MemberListing {
                     name: card.name.clone(),
                     zone: card.zone.clone(),
                     role,
@@ -110,8 +110,8 @@
     }
 
     /// All workers that the gossip lists, by id.
-    pub fn list_workers(&self) -> Vec<WorkerLine> {
-        let line = |worker: &Worker| WorkerLine {
+    pub fn list_workers(&self) -> Vec<WorkerListing> {
+        let line = |worker: &Worker| WorkerListing {
             id: worker.id.clone(),
             service: worker.service.clone(),
             zone: worker.zone.clone(),
@@ -124,21 +124,21 @@
     }
 
     /// The roster of stores, by name.
-    pub fn list_stores(&self) -> Vec<StoreLine> {
+    pub fn list_stores(&self) -> Vec<StoreListing> {
         let members = self.list_members();
         let stands = |at: SocketAddr| members.iter().filter(|m| m.peer == at).map(|m| m.standing).min();
-        let mut lines: Vec<StoreLine> = Vec::new();
+        let mut lines: Vec<StoreListing> = Vec::new();
         for (member, retiring) in self.shelved() {
-            let holds = |seats: &[Seat]| seats.iter().any(|s| s.id == member.id);
-            let parts = self.roster.groups.iter().filter(|g| holds(&g.members)).map(|g| g.part).collect();
+            let holds = |seats: &[MemberRecord]| seats.iter().any(|s| s.id == member.id);
+            let shards = self.topology.groups.iter().filter(|g| holds(&g.members)).map(|g| g.shard).collect();
             let standing = stands(member.at).unwrap_or("unknown");
-            lines.push(StoreLine {
+            lines.push(StoreListing {
                 name: member.name,
                 zone: member.zone,
                 peer: member.at,
                 standing,
                 retiring,
-                parts,
+                shards,
             });
         }
         lines.sort_by(|a, b| a.name.cmp(&b.name));
@@ -146,32 +146,35 @@
     }
 
     fn shelved(&self) -> impl Iterator<Item = (Member, bool)> {
-        self.roster.stores.iter().filter_map(|s| Some((s.seat.member().ok()?, s.is_retiring())))
+        self.topology.stores.iter().filter_map(|s| Some((s.seat.member().ok()?, s.is_retiring())))
     }
 
     /// All parts, as far as this process knows: of a part that it has no replica in, by the roster and by where calls went last.
-    pub fn list_parts(&self) -> Vec<PartLine> {
+    pub fn list_shards(&self) -> Vec<ShardListing> {
         let members = self.list_members();
         let named = |at: SocketAddr| {
             let member = members.iter().find(|m| m.peer == at);
             member.map_or_else(|| at.to_string(), |m| m.name.clone())
         };
         let line = |number: u16| {
-            let (leader, seats, term) = match self.parts.get(&number) {
-                Some(part) => {
-                    let seats: Vec<SocketAddr> = part.replica.members().0.iter().map(|m| m.at).collect();
-                    (part.replica.leader().map(|m| m.at), seats, part.replica.term())
+            let (leader, seats, term) = match self.shards.get(&number) {
+                Some(shard) => {
+                    let seats: Vec<SocketAddr> = shard.replica.members().0.iter().map(|m| m.at).collect();
+                    (shard.replica.leader().map(|m| m.at), seats, shard.replica.term())
                 }
                 None => {
-                    let listed = self.roster.groups.iter().find(|g| g.part == number);
-                    let seats =
-                        if number == CONTROL { Some(&self.roster.core) } else { listed.map(|g| &g.members) };
+                    let listed = self.topology.groups.iter().find(|g| g.shard == number);
+                    let seats = if number == CONTROL {
+                        Some(&self.topology.core)
+                    } else {
+                        listed.map(|g| &g.members)
+                    };
                     let seats =
                         seats.into_iter().flatten().filter_map(|s| s.member().ok()).map(|m| m.at).collect();
                     (self.hints.get(&number).copied(), seats, listed.map_or(0, |g| g.term))
                 }
             };
-            PartLine {
+            ShardListing {
                 number,
                 holds: if number == CONTROL { "configuration" } else { "lots" },
                 leader: leader.map(named),
@@ -179,6 +182,6 @@
                 term,
             }
         };
-        (CONTROL..=PARTS).map(line).collect()
+        (CONTROL..=BATCH_SHARDS).map(line).collect()
     }
 }
--- a/crates/coordinator/src/vacating.rs
+++ b/crates/coordinator/src/lost_membership.rs
@@ -16,8 +16,8 @@
 
 use rainlug::{SECOND, Time};
 
-use crate::part::Machine;
-use crate::{Coordinator, Effect, PARTS};
+use crate::shard::Machine;
+use crate::{BATCH_SHARDS, Coordinator, Effect};
 
 /// How long no leader must have been heard: longer than the elections, starts and cuts after which a change goes on.
 const QUIET: Time = 4 * SECOND;
@@ -25,39 +25,39 @@
 impl Coordinator {
     /// Gives up the replicas that no group counts on any more.
     pub(crate) fn vacate_lost_seats(&mut self) {
-        for number in 1..=PARTS {
+        for number in 1..=BATCH_SHARDS {
             let may_go = self.has_lost_seat(number);
             let now = self.now.steady;
-            let Some(part) = self.parts.get_mut(&number) else { continue };
+            let Some(shard) = self.shards.get_mut(&number) else { continue };
             if !may_go {
-                part.seatless_since = None;
+                shard.seatless_since = None;
                 continue;
             }
-            if now - *part.seatless_since.get_or_insert(now) >= QUIET {
+            if now - *shard.seatless_since.get_or_insert(now) >= QUIET {
                 self.vacate(number);
             }
         }
     }
 
     fn has_lost_seat(&self, number: u16) -> bool {
-        let (Some(part), Some(disk)) = (self.parts.get(&number), self.info.disk) else { return false };
-        let replica = &part.replica;
+        let (Some(shard), Some(disk)) = (self.shards.get(&number), self.info.disk) else { return false };
+        let replica = &shard.replica;
         !replica.is_vacant()
             && !replica.has_backlog()
             && replica.leader().is_none()
-            && self.roster.is_without(number, disk, replica.group_index())
+            && self.topology.is_without(number, disk, replica.group_index())
     }
 
     fn vacate(&mut self, number: u16) {
         let now = self.now.steady;
-        let Some(part) = self.parts.get_mut(&number) else { return };
-        if !part.replica.vacate(now) {
+        let Some(shard) = self.shards.get_mut(&number) else { return };
+        if !shard.replica.vacate(now) {
             return;
         }
-        part.seatless_since = None;
-        part.restoring = None;
-        part.compact_wanted = false;
-        (part.machine, part.ledger) = (Machine::empty(number), Default::default());
+        shard.seatless_since = None;
+        shard.restoring = None;
+        shard.compact_wanted = false;
+        (shard.machine, shard.quota_ledger) = (Machine::empty(number), Default::default());
         self.effects.push(Effect::Log("vacated", format!("part {number}: another store has the seat")));
         self.drain(number);
     }
--- a/crates/coordinator/src/machine.rs
+++ b/crates/coordinator/src/machine.rs
@@ -4,14 +4,14 @@
 
 use bytes::{Bytes, BytesMut};
 use quick_error::quick_error;
-use rainlug_batch::{Ledger, Register, RegisterRestore, RegisterSnapshot};
-use rainlug_consensus::{StateSource, WholeState};
+use rainlug_batch::{QuotaLedger, Register, RegisterRestore, RegisterSnapshot};
+use rainlug_consensus::{InMemoryState, SnapshotSource};
 
 use crate::CONTROL;
 use crate::control::Control;
 
 /// Bytes of a piece of the configuration part's snapshot: as much as a message of a group has.
-const PIECE_BYTES: usize = 128 << 10;
+const CHUNK_BYTES: usize = 128 << 10;
 
 quick_error! {
     /// Why a state could not be restored.
@@ -27,7 +27,7 @@
 /// The state machine in force.
 pub(crate) enum Machine {
     Control(Control),
-    Lots(Register),
+    BatchJobs(Register),
 }
 
 /// A state that is built beside the one in force.
@@ -35,49 +35,50 @@
     /// Small enough to be read at once, when all of it is there.
     Control(BytesMut),
     /// The first piece is the ledger, the others are the register's.
-    Lots(Option<Ledger>, Box<RegisterRestore>),
+    BatchJobs(Option<QuotaLedger>, Box<RegisterRestore>),
 }
 
 /// The state of a part of batch jobs as the replica reads it: the ledger in one piece, and the register's pieces.
-struct LotsSource {
-    ledger: Bytes,
+struct BatchShardSource {
+    quota_ledger: Bytes,
     register: RegisterSnapshot,
 }
 
-impl StateSource for LotsSource {
-    fn pieces(&self) -> usize {
-        1 + self.register.pieces()
+impl SnapshotSource for BatchShardSource {
+    fn chunks(&self) -> usize {
+        1 + self.register.chunks()
     }
 
-    fn piece(&self, number: usize) -> Bytes {
+    fn chunk(&self, number: usize) -> Bytes {
         match number.checked_sub(1) {
-            None => self.ledger.clone(),
-            Some(number) => self.register.piece(number),
+            None => self.quota_ledger.clone(),
+            Some(number) => self.register.chunk(number),
         }
     }
 
     fn size(&self) -> u64 {
-        self.ledger.len() as u64 + self.register.size()
+        self.quota_ledger.len() as u64 + self.register.size()
     }
 }
 
 impl Machine {
     /// A part's state machine that has applied nothing.
-    pub fn empty(part: u16) -> Self {
-        if part == CONTROL {
+    pub fn empty(shard: u16) -> Self {
+        if shard == CONTROL {
             Machine::Control(Control::default())
         } else {
-            Machine::Lots(Register::default())
+            Machine::BatchJobs(Register::default())
         }
     }
 
     /// Its state and the ledger's as of now, to be read piece by piece later on.
-    pub fn snapshot_source(&self, ledger: &Ledger) -> Arc<dyn StateSource> {
+    pub fn snapshot_source(&self, quota_ledger: &QuotaLedger) -> Arc<dyn SnapshotSource> {
         match self {
-            Machine::Control(control) => Arc::new(WholeState::new(control.snapshot(), PIECE_BYTES)),
-            Machine::Lots(register) => {
-                Arc::new(LotsSource { ledger: ledger.snapshot(), register: register.snapshot() })
-            }
+            Machine::Control(control) => Arc::new(InMemoryState::new(control.snapshot(), CHUNK_BYTES)),
+            Machine::BatchJobs(register) => Arc::new(BatchShardSource {
+                quota_ledger: quota_ledger.snapshot(),
+                register: register.snapshot(),
+            }),
         }
     }
 
@@ -85,7 +86,7 @@
     pub fn restore_begin(&self) -> Restoring {
         match self {
             Machine::Control(_) => Restoring::Control(BytesMut::new()),
-            Machine::Lots(_) => Restoring::Lots(None, Box::default()),
+            Machine::BatchJobs(_) => Restoring::BatchJobs(None, Box::default()),
         }
     }
 }
@@ -95,14 +96,14 @@
     ///
     /// # Errors
     /// Where it cannot be one.
-    pub fn take(&mut self, piece: &Bytes) -> Result<(), RestoreError> {
+    pub fn take(&mut self, chunk: &Bytes) -> Result<(), RestoreError> {
         match self {
-            Restoring::Control(bytes) => bytes.extend_from_slice(piece),
-            Restoring::Lots(ledger @ None, _) => {
-                *ledger = Some(Ledger::restore(piece).map_err(|_| RestoreError::Malformed)?);
+            Restoring::Control(bytes) => bytes.extend_from_slice(chunk),
+            Restoring::BatchJobs(quota_ledger @ None, _) => {
+                *quota_ledger = Some(QuotaLedger::restore(chunk).map_err(|_| RestoreError::Malformed)?);
             }
-            Restoring::Lots(Some(_), register) => {
-                register.take(piece).map_err(|_| RestoreError::Malformed)?;
+            Restoring::BatchJobs(Some(_), register) => {
+                register.take(chunk).map_err(|_| RestoreError::Malformed)?;
             }
         }
         Ok(())
@@ -112,16 +113,16 @@
     ///
     /// # Errors
     /// Where the pieces are none of such a state machine's.
-    pub fn finish(self) -> Result<(Machine, Ledger), RestoreError> {
+    pub fn finish(self) -> Result<(Machine, QuotaLedger), RestoreError> {
         match self {
             Restoring::Control(bytes) => {
                 let control = Control::restore(&bytes.freeze()).map_err(|_| RestoreError::Malformed)?;
-                Ok((Machine::Control(control), Ledger::default()))
+                Ok((Machine::Control(control), QuotaLedger::default()))
             }
-            Restoring::Lots(ledger, register) => {
-                let ledger = ledger.ok_or(RestoreError::Malformed)?;
+            Restoring::BatchJobs(quota_ledger, register) => {
+                let quota_ledger = quota_ledger.ok_or(RestoreError::Malformed)?;
                 let register = register.finish().map_err(|_| RestoreError::Malformed)?;
-                Ok((Machine::Lots(register), ledger))
+                Ok((Machine::BatchJobs(register), quota_ledger))
             }
         }
     }
--- a/crates/coordinator/src/duties.rs
+++ b/crates/coordinator/src/maintenance.rs
@@ -7,13 +7,13 @@
 use rainlug_registry::Phase;
 
 use crate::calls::Goal;
-use crate::frame::{Request, Seat};
-use crate::{CONTROL, Coordinator, Effect, MISSED, PARTS};
+use crate::frame::{MemberRecord, Request};
+use crate::{BATCH_SHARDS, CONTROL, Coordinator, Effect, MISSED};
 
 /// Between two words of a process about itself.
 pub(crate) const ANNOUNCE: Time = SECOND;
 impl Coordinator {
-    pub(crate) fn duties(&mut self) {
+    pub(crate) fn run_maintenance(&mut self) {
         self.silent();
         self.diagnose();
         self.check_memory();
@@ -21,14 +21,14 @@
             self.announce_at = self.now.steady + ANNOUNCE;
             self.announce();
         }
-        if self.parts.get(&CONTROL).is_some_and(|p| p.led) {
+        if self.shards.get(&CONTROL).is_some_and(|p| p.led) {
             self.post();
             self.seat_core();
-            self.found_parts();
+            self.create_shards();
             self.fence_absent();
         }
-        for number in 1..=PARTS {
-            if self.parts.get(&number).is_some_and(|p| p.replica.is_elected()) {
+        for number in 1..=BATCH_SHARDS {
+            if self.shards.get(&number).is_some_and(|p| p.replica.is_elected()) {
                 self.seat_stores(number);
             }
         }
@@ -38,13 +38,13 @@
 
     /// Workers whose beats are this process's duty, and do not come.
     fn silent(&mut self) {
-        let (now, patience) = (self.now.steady, (self.info.beat as f64 * MISSED) as Time);
+        let (now, patience) = (self.now.steady, (self.info.heartbeat as f64 * MISSED) as Time);
         if !self.info.gateway {
             return;
         }
         if self.is_isolated(self.now) {
             // Beats go elsewhere meanwhile; at its return they are awaited in full.
-            self.beats.clear();
+            self.heartbeats.clear();
             return;
         }
         let mut quiet = Vec::new();
@@ -54,17 +54,17 @@
                 continue;
             }
             mine.insert(worker.id.clone());
-            if self.beats.get(&worker.id).is_some_and(|at| now - at > patience) {
+            if self.heartbeats.get(&worker.id).is_some_and(|at| now - at > patience) {
                 quiet.push(worker.clone());
             }
         }
-        self.beats.retain(|id, _| mine.contains(id));
+        self.heartbeats.retain(|id, _| mine.contains(id));
         for id in mine {
             // The duty may have just come here: the first beats are awaited in full.
-            self.beats.entry(id).or_insert(now);
+            self.heartbeats.entry(id).or_insert(now);
         }
         for mut worker in quiet {
-            self.beats.remove(&worker.id);
+            self.heartbeats.remove(&worker.id);
             worker.phase = Phase::Silent;
             self.effects.push(Effect::Log("silent", worker.id.clone()));
             self.enter(worker);
@@ -74,9 +74,9 @@
     /// Asks for a seat in the core, or to be on the roster of stores.
     fn announce(&mut self) {
         let Some(me) = self.me() else { return };
-        let seat = Seat::from(&me);
+        let seat = MemberRecord::from(&me);
         if self.info.gateway {
-            if !self.roster.core.iter().any(|s| s.id == me.id) {
+            if !self.topology.core.iter().any(|s| s.id == me.id) {
                 self.ask(
                     CONTROL,
                     &Request::Join { seat },
@@ -87,7 +87,7 @@
                     503,
                 );
             }
-        } else if !self.roster.stores.iter().any(|s| s.seat == seat) {
+        } else if !self.topology.stores.iter().any(|s| s.seat == seat) {
             self.ask(CONTROL, &Request::Shelve { seat }, bytes::Bytes::new(), Goal::Nobody, ANNOUNCE, 0, 503);
         }
     }
--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -7,7 +7,7 @@
 use rainlug_fleet::Standing;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::news::Sink;
+use crate::dissemination::Sink;
 use crate::{CONTROL, Coordinator, Effect, Now};
 
 /// Who has others, and has heard nothing of them for so long, is cut off.
@@ -100,7 +100,7 @@
     /// the configuration's part then is a quorum by itself.
     pub(crate) fn is_isolated(&self, now: Now) -> bool {
         let silent = self.has_fellows && now.steady - self.heard > CUT_OFF;
-        silent && !self.parts.get(&CONTROL).is_some_and(|part| part.replica.leads())
+        silent && !self.shards.get(&CONTROL).is_some_and(|shard| shard.replica.leads())
     }
 
     /// Whether it may be given clients: it knows a configuration, has heard of others or is alone, and is not cut off: who lives
--- a/crates/coordinator/src/quota.rs
+++ b/crates/coordinator/src/quota.rs
@@ -5,12 +5,12 @@
 
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
-use rainlug_batch::{Booked, Command, OpenLot, RESERVATION_GRACE, Register, ReportNumber};
+use rainlug_batch::{Booked, Command, OpenJob, RESERVATION_GRACE, Register, ReportNumber};
 use rainlug_registry::Kind;
 
 use crate::calls::Goal;
 use crate::frame::Request;
-use crate::{Answer, Coordinator, Origin, part_of};
+use crate::{Answer, Coordinator, Origin, shard_of_route};
 
 /// How long a batch job waits for its tokens. Less than its dispatcher waits for its part's leader, so that a refusal arrives.
 const RESERVE_WITHIN: Time = 8 * SECOND / 10;
@@ -72,8 +72,8 @@
 /// A ledger's answer to a reservation.
 pub(crate) struct Reserved {
     /// The part of the batch job.
-    pub part: u16,
-    pub lot: String,
+    pub shard: u16,
+    pub job: String,
     pub answer: Answer,
 }
 
@@ -100,14 +100,14 @@
 }
 
 impl RouteReport {
-    fn finish(&mut self, lot: &str) {
-        if self.open.remove(lot).is_some() {
-            self.tell_finished(lot, 0);
+    fn finish(&mut self, job: &str) {
+        if self.open.remove(job).is_some() {
+            self.tell_finished(job, 0);
         }
     }
 
-    fn tell_finished(&mut self, lot: &str, until: Time) {
-        self.finished.insert(lot.to_owned(), until);
+    fn tell_finished(&mut self, job: &str, until: Time) {
+        self.finished.insert(job.to_owned(), until);
         if self.finished.len() > MOST_FINISHED {
             self.finished.pop_first();
         }
@@ -118,8 +118,8 @@
     fn tell(&mut self, now: Time) -> BTreeMap<String, u64> {
         (self.is_changed, self.is_under_way, self.sent_at) = (false, true, now);
         self.told =
-            self.finished.iter().filter(|(_, until)| **until <= now).map(|(lot, _)| lot.clone()).collect();
-        let finished = self.finished.keys().map(|lot| (lot.clone(), 0));
+            self.finished.iter().filter(|(_, until)| **until <= now).map(|(job, _)| job.clone()).collect();
+        let finished = self.finished.keys().map(|job| (job.clone(), 0));
         finished.chain(self.open.clone()).collect()
     }
 
@@ -127,8 +127,8 @@
     fn told(&mut self, is_entered: bool) {
         self.is_under_way = false;
         self.is_changed |= !is_entered;
-        for lot in std::mem::take(&mut self.told).iter().filter(|_| is_entered) {
-            self.finished.remove(lot);
+        for job in std::mem::take(&mut self.told).iter().filter(|_| is_entered) {
+            self.finished.remove(job);
         }
         self.is_changed |= !self.finished.is_empty();
     }
@@ -147,23 +147,23 @@
     /// no report may have named.
     pub fn new(register: &Register, term: u64, wall: Time) -> Self {
         let mut reports = Reports { last: ReportNumber { term, sequence: 0 }, routes: BTreeMap::new() };
-        for (route, lot, tokens) in register.open_lots() {
-            reports.route(route).open.insert(lot.to_owned(), tokens);
+        for (route, job, tokens) in register.open_jobs() {
+            reports.route(route).open.insert(job.to_owned(), tokens);
         }
-        for (route, lot) in register.closed_lots_since(wall - 2 * RESERVATION_GRACE) {
-            reports.route(route).tell_finished(lot, 0);
+        for (route, job) in register.closed_jobs_since(wall - 2 * RESERVATION_GRACE) {
+            reports.route(route).tell_finished(job, 0);
         }
         reports
     }
 
     /// Nothing was proposed of a batch job whose tokens were asked for; the ledger may enter the reservation yet.
-    fn came_to_nothing(&mut self, route: &str, lot: &str, now: Time) {
-        self.route(route).tell_finished(lot, now + LATE_RESERVATION);
+    fn came_to_nothing(&mut self, route: &str, job: &str, now: Time) {
+        self.route(route).tell_finished(job, now + LATE_RESERVATION);
     }
 
     /// A batch job's tokens are asked for.
-    fn is_reserving(&mut self, route: &str, lot: &str) {
-        self.route(route).finished.remove(lot);
+    fn is_reserving(&mut self, route: &str, job: &str) {
+        self.route(route).finished.remove(job);
     }
 
     fn route(&mut self, route: &str) -> &mut RouteReport {
@@ -175,17 +175,17 @@
 
     /// After a command was applied to the register.
     pub fn applied(&mut self, register: &Register, command: &Command) {
-        let (Command::Submit { lot, .. } | Command::List { lot, .. } | Command::End { lot, .. }) = command
+        let (Command::Submit { job, .. } | Command::List { job, .. } | Command::End { job, .. }) = command
         else {
             return;
         };
-        if let Some((route, tokens)) = register.open_lot(lot) {
+        if let Some((route, tokens)) = register.open_job(job) {
             let report = self.route(route);
-            report.is_changed |= report.open.insert(lot.clone(), tokens) != Some(tokens);
+            report.is_changed |= report.open.insert(job.clone(), tokens) != Some(tokens);
             return;
         }
         for report in self.routes.values_mut() {
-            report.finish(lot);
+            report.finish(job);
         }
     }
 
@@ -206,7 +206,7 @@
     fn take_due(
         &mut self,
         now: Time,
-        part: u16,
+        shard: u16,
         submitting: &BTreeMap<String, Submitting>,
     ) -> Vec<(String, Command)> {
         let mut due = Vec::new();
@@ -215,9 +215,9 @@
             let mut open = report.tell(now);
             // What is proposed may be committed yet, even if it takes longer than the reservation's grace.
             let proposed = submitting.iter().filter(|(_, s)| s.is_proposed() && s.route == *route);
-            open.extend(proposed.map(|(lot, s)| (lot.clone(), s.tokens)));
-            let open = open.into_iter().map(|(lot, tokens)| OpenLot { lot, tokens }).collect();
-            let command = Command::Settle { route: route.clone(), part, number: self.last, at: 0, open };
+            open.extend(proposed.map(|(job, s)| (job.clone(), s.tokens)));
+            let open = open.into_iter().map(|(job, tokens)| OpenJob { job, tokens }).collect();
+            let command = Command::Settle { route: route.clone(), shard, number: self.last, at: 0, open };
             due.push((route.clone(), command));
         }
         due
@@ -227,82 +227,82 @@
 impl Coordinator {
     /// Asks for a batch job's tokens; the job is proposed once they are reserved. At most `most` may wait on the route (0: no
     /// limit, and no need to ask: the part's reports tell of the job).
-    pub(crate) fn reserve_tokens(&mut self, number: u16, lot: &str, submitting: Submitting, most: u64) {
-        let Some(part) = self.parts.get_mut(&number) else { return };
+    pub(crate) fn reserve_tokens(&mut self, number: u16, job: &str, submitting: Submitting, most: u64) {
+        let Some(shard) = self.shards.get_mut(&number) else { return };
         let (route, tokens) = (submitting.route.clone(), submitting.tokens);
-        part.submitting.insert(lot.to_owned(), submitting);
-        if let Some(reports) = &mut part.reports {
-            reports.is_reserving(&route, lot);
+        shard.submitting.insert(job.to_owned(), submitting);
+        if let Some(reports) = &mut shard.reports {
+            reports.is_reserving(&route, job);
         }
         if most == 0 {
-            let granted = Reserved { part: number, lot: lot.to_owned(), answer: Answer::of(200) };
+            let granted = Reserved { shard: number, job: job.to_owned(), answer: Answer::of(200) };
             return self.reservations.push_back(granted);
         }
         let request =
-            Request::Reserve { lot: lot.into(), route: route.as_str().into(), part: number, tokens, most };
-        let goal = Goal::Reservation { part: number, lot: lot.to_owned() };
-        self.ask(part_of(&route), &request, Bytes::new(), goal, RESERVE_WITHIN, COMMIT_SLACK, 503);
+            Request::Reserve { job: job.into(), route: route.as_str().into(), shard: number, tokens, most };
+        let goal = Goal::Reservation { shard: number, job: job.to_owned() };
+        self.ask(shard_of_route(&route), &request, Bytes::new(), goal, RESERVE_WITHIN, COMMIT_SLACK, 503);
     }
 
     /// Acts on the answers of ledgers. Not where they arrive: that may be in the midst of another part's commands.
     pub(crate) fn finish_reservations(&mut self) {
-        while let Some(Reserved { part, lot, answer }) = self.reservations.pop_front() {
+        while let Some(Reserved { shard, job, answer }) = self.reservations.pop_front() {
             if answer.status == 200 {
-                self.propose_reserved(part, &lot);
+                self.propose_reserved(shard, &job);
             } else {
                 let refusal = if answer.status == 429 {
                     Answer::later(429, OVER_QUOTA_RETRY)
                 } else {
                     Answer::later(503, NO_LEDGER_RETRY)
                 };
-                self.refuse_submitting(part, &lot, &refusal);
+                self.refuse_submitting(shard, &job, &refusal);
             }
         }
     }
 
-    fn propose_reserved(&mut self, number: u16, lot: &str) {
-        let Some(part) = self.parts.get_mut(&number) else { return };
-        let Some(submitting) = part.submitting.get_mut(lot) else { return };
+    fn propose_reserved(&mut self, number: u16, job: &str) {
+        let Some(shard) = self.shards.get_mut(&number) else { return };
+        let Some(submitting) = shard.submitting.get_mut(job) else { return };
         let Stage::Reserving { command } = std::mem::replace(&mut submitting.stage, Stage::Proposed) else {
             return;
         };
         let origin = submitting.origins.remove(0);
         if !self.propose(number, origin, command) {
-            self.send_submitting_elsewhere(number, lot);
+            self.send_submitting_elsewhere(number, job);
         }
     }
 
     /// Nothing was proposed: who waits for the batch job may rely on it.
-    fn refuse_submitting(&mut self, number: u16, lot: &str, refusal: &Answer) {
+    fn refuse_submitting(&mut self, number: u16, job: &str, refusal: &Answer) {
         let now = self.now.steady;
-        let Some(part) = self.parts.get_mut(&number) else { return };
-        if part.submitting.get(lot).is_none_or(Submitting::is_proposed) {
+        let Some(shard) = self.shards.get_mut(&number) else { return };
+        if shard.submitting.get(job).is_none_or(Submitting::is_proposed) {
             return;
         }
-        let Some(submitting) = part.submitting.remove(lot) else { return };
+        let Some(submitting) = shard.submitting.remove(job) else { return };
         if refusal.status != 429
-            && let Some(reports) = &mut part.reports
+            && let Some(reports) = &mut shard.reports
         {
-            reports.came_to_nothing(&submitting.route, lot, now);
+            reports.came_to_nothing(&submitting.route, job, now);
         }
         submitting.origins.into_iter().for_each(|origin| self.reply(origin, refusal.clone()));
     }
 
-    fn send_submitting_elsewhere(&mut self, number: u16, lot: &str) {
-        let Some(part) = self.parts.get_mut(&number) else { return };
-        let origins = part.submitting.remove(lot).map_or(Vec::new(), |submitting| submitting.origins);
+    fn send_submitting_elsewhere(&mut self, number: u16, job: &str) {
+        let Some(shard) = self.shards.get_mut(&number) else { return };
+        let origins = shard.submitting.remove(job).map_or(Vec::new(), |submitting| submitting.origins);
         origins.into_iter().for_each(|origin| self.send_elsewhere(number, origin));
     }
 
     /// A reservation, asked of this process as the leader of the ledger's part.
     pub(crate) fn reserve(&mut self, number: u16, origin: Origin, command: Command) {
-        let Command::Reserve { route, lot, part, tokens, most, .. } = &command else { return };
-        let Some(counts) = self.parts.get(&number) else { return };
-        if part_of(route) != number {
+        let Command::Reserve { route, job, shard, tokens, most, .. } = &command else { return };
+        let Some(counts) = self.shards.get(&number) else { return };
+        if shard_of_route(route) != number {
             return self.reply(origin, Answer::of(400));
         }
         // A refusal need not be agreed on: where this copy is old, the job fits when it comes again.
-        if !counts.ledger.has_room(route, lot, *part, *tokens, *most) {
+        if !counts.quota_ledger.has_room(route, job, *shard, *tokens, *most) {
             return self.reply(origin, Answer::later(429, OVER_QUOTA_RETRY));
         }
         self.propose(number, origin, command.encode());
@@ -311,17 +311,17 @@
     /// A report, made to this process as the leader of the ledger's part.
     pub(crate) fn settle_tokens(&mut self, number: u16, origin: Origin, report: &Bytes) {
         let wall = self.now.wall;
-        let Some(counts) = self.parts.get(&number) else { return };
-        let Ok(Command::Settle { route, part, number: nth, open, .. }) = Command::decode(report) else {
+        let Some(counts) = self.shards.get(&number) else { return };
+        let Ok(Command::Settle { route, shard, number: nth, open, .. }) = Command::decode(report) else {
             return self.reply(origin, Answer::of(400));
         };
-        if part_of(&route) != number {
+        if shard_of_route(&route) != number {
             return self.reply(origin, Answer::of(400));
         }
-        if !counts.ledger.would_change(&route, part, nth, &open, wall) {
+        if !counts.quota_ledger.would_change(&route, shard, nth, &open, wall) {
             return self.reply(origin, Answer::of(200));
         }
-        let command = Command::Settle { route, part, number: nth, at: wall, open };
+        let command = Command::Settle { route, shard, number: nth, at: wall, open };
         self.propose(number, origin, command.encode());
     }
 
@@ -341,7 +341,7 @@
     /// Parts that this process leads report on all routes, also where they have none of its batch jobs.
     pub(crate) fn watch_routes(&mut self) {
         let Some(configuration) = &self.configuration else { return };
-        for reports in self.parts.values_mut().filter_map(|part| part.reports.as_mut()) {
+        for reports in self.shards.values_mut().filter_map(|shard| shard.reports.as_mut()) {
             let routes = configuration.routes.iter().filter(|route| route.kind == Kind::Bulk);
             routes.for_each(|route| {
                 reports.route(&route.name);
@@ -353,22 +353,22 @@
     pub(crate) fn report_tokens(&mut self) {
         let now = self.now.steady;
         let mut due = Vec::new();
-        for (number, part) in &mut self.parts {
-            if let Some(reports) = &mut part.reports {
-                let reports = reports.take_due(now, *number, &part.submitting);
+        for (number, shard) in &mut self.shards {
+            if let Some(reports) = &mut shard.reports {
+                let reports = reports.take_due(now, *number, &shard.submitting);
                 due.extend(reports.into_iter().map(|(route, command)| (*number, route, command)));
             }
         }
-        for (part, route, command) in due {
-            let ledger = part_of(&route);
-            let (tail, goal) = (command.encode(), Goal::Report { part, route });
-            self.ask(ledger, &Request::Settle, tail, goal, REPORT_WITHIN, COMMIT_SLACK, 503);
+        for (shard, route, command) in due {
+            let quota_ledger = shard_of_route(&route);
+            let (tail, goal) = (command.encode(), Goal::Report { shard, route });
+            self.ask(quota_ledger, &Request::Settle, tail, goal, REPORT_WITHIN, COMMIT_SLACK, 503);
         }
     }
 
     /// A report was answered, or had no answer in time.
     pub(crate) fn reported(&mut self, number: u16, route: &str, is_entered: bool) {
-        let reports = self.parts.get_mut(&number).and_then(|part| part.reports.as_mut());
+        let reports = self.shards.get_mut(&number).and_then(|shard| shard.reports.as_mut());
         if let Some(report) = reports.and_then(|reports| reports.routes.get_mut(route)) {
             report.told(is_entered);
         }
--- a/crates/coordinator/src/seats.rs
+++ b/crates/coordinator/src/replica_placement.rs
@@ -12,11 +12,11 @@
 
 use crate::calls::Goal;
 use crate::control::Change;
-use crate::duties::ANNOUNCE;
-use crate::frame::{Request, Seat, join};
-use crate::part::Machine;
-use crate::roster::members;
-use crate::{CONTROL, Coordinator, Effect, Origin, PARTS, gossip};
+use crate::frame::{MemberRecord, Request, join};
+use crate::maintenance::ANNOUNCE;
+use crate::shard::Machine;
+use crate::topology::members;
+use crate::{BATCH_SHARDS, CONTROL, Coordinator, Effect, Origin, gossip};
 
 /// Who has not been there for so long loses a seat, if another one can have it.
 const ABSENT: Time = 4 * SECOND;
@@ -91,7 +91,7 @@
         let crowd = |zone: &str| others.iter().filter(|m| m.zone == zone).count();
         // Leaders of several parts that look for a seat at once do not all find the same store.
         let turn = |m: &Member| xxh3_64_with_seed(&m.id.to_le_bytes(), u64::from(number));
-        from.min_by_key(|m| (crowd(&m.zone), self.roster.seats_of(m.id), turn(m))).cloned()
+        from.min_by_key(|m| (crowd(&m.zone), self.topology.seats_of(m.id), turn(m))).cloned()
     }
 
     /// The seats of the configuration's group.
@@ -99,8 +99,8 @@
         let now = self.now.steady;
         self.joiners.retain(|_, (_, heard)| now - *heard < 3 * ANNOUNCE);
         let target = self.info.target_members();
-        let Some(part) = self.parts.get(&CONTROL) else { return };
-        let (members, settled) = part.replica.members();
+        let Some(shard) = self.shards.get(&CONTROL) else { return };
+        let (members, settled) = shard.replica.members();
         if !settled {
             return;
         }
@@ -135,8 +135,8 @@
     }
 
     fn reseat(&mut self, number: u16, next: Vec<Member>) {
-        let Some(part) = self.parts.get_mut(&number) else { return };
-        if part.replica.change(self.now.steady, next.clone()).is_ok() {
+        let Some(shard) = self.shards.get_mut(&number) else { return };
+        if shard.replica.change(self.now.steady, next.clone()).is_ok() {
             let names: Vec<String> = next.iter().map(|m| format!("{}@{}", m.name, m.at)).collect();
             self.effects.push(Effect::Log("seats", format!("part {number}: {}", names.join(" "))));
             self.drain(number);
@@ -144,13 +144,13 @@
     }
 
     /// The first groups of the parts of batch jobs.
-    pub(crate) fn found_parts(&mut self) {
+    pub(crate) fn create_shards(&mut self) {
         let now = self.now.steady;
         let (least, target) = (self.info.fewest_members(), self.info.target_members());
-        let Some(control) = self.parts.get(&CONTROL).and_then(|p| p.control()) else { return };
+        let Some(control) = self.shards.get(&CONTROL).and_then(|p| p.control()) else { return };
         let stores: Vec<Member> =
             control.stores.values().filter(|s| !s.is_retiring()).map(|s| s.member.clone()).collect();
-        let missing: Vec<u16> = (1..=PARTS).filter(|n| !control.groups.contains_key(n)).collect();
+        let missing: Vec<u16> = (1..=BATCH_SHARDS).filter(|n| !control.groups.contains_key(n)).collect();
         if missing.is_empty() || stores.len() < least {
             return;
         }
@@ -177,12 +177,12 @@
     /// Parts that were founded with this store among them, and that it does not have, begin here.
     pub(crate) fn founded(&mut self) {
         let Some(me) = self.me().filter(|_| !self.info.gateway) else { return };
-        for group in self.roster.groups.clone() {
-            if self.parts.contains_key(&group.part) || !group.founding.iter().any(|s| s.id == me.id) {
+        for group in self.topology.groups.clone() {
+            if self.shards.contains_key(&group.shard) || !group.founding.iter().any(|s| s.id == me.id) {
                 continue;
             }
             if let Ok(founding) = members(&group.founding) {
-                let _ = self.open(group.part, founding, &[]);
+                let _ = self.open(group.shard, founding, &[]);
             }
         }
     }
@@ -190,7 +190,7 @@
     /// Fences disks whose absence leaves a group of batch jobs without a majority, where another store could have the seat. That a
     /// fenced one may only be cut off does no harm: it takes a new identity when it hears of it.
     pub(crate) fn fence_absent(&mut self) {
-        let Some(control) = self.parts.get(&CONTROL).and_then(|p| p.control()) else { return };
+        let Some(control) = self.shards.get(&CONTROL).and_then(|p| p.control()) else { return };
         let mut fences: Vec<MemberId> = Vec::new();
         for group in control.groups.values() {
             let absent = |m: &&Member| self.absent_for(&m.at) > FENCE_ABSENT;
@@ -215,10 +215,10 @@
     }
 
     /// All replicas of batch jobs here learn which disks are fenced.
-    pub(crate) fn fence_parts(&mut self) {
-        for number in 1..=PARTS {
-            if let Some(part) = self.parts.get_mut(&number) {
-                part.replica.fence(self.now.steady, self.roster.fenced.iter().copied());
+    pub(crate) fn fence_shards(&mut self) {
+        for number in 1..=BATCH_SHARDS {
+            if let Some(shard) = self.shards.get_mut(&number) {
+                shard.replica.fence(self.now.steady, self.topology.fenced.iter().copied());
                 self.drain(number);
             }
         }
@@ -226,15 +226,15 @@
 
     /// A store whose disk was fenced and has no seat any more is a store with a new disk from now on.
     pub(crate) fn renew_fenced_disk(&mut self) {
-        let Some(disk) = self.info.disk.filter(|disk| !self.info.gateway && self.roster.is_fenced(*disk))
+        let Some(disk) = self.info.disk.filter(|disk| !self.info.gateway && self.topology.is_fenced(*disk))
         else {
             return;
         };
         let has_seat = |number: u16| {
-            let group = self.roster.group(number);
+            let group = self.topology.group(number);
             group.is_none_or(|group| group.members.iter().any(|seat| seat.id == disk))
         };
-        if (1..=PARTS).any(has_seat) {
+        if (1..=BATCH_SHARDS).any(has_seat) {
             return;
         }
         self.renew_disk(disk);
@@ -242,8 +242,8 @@
 
     /// The store is one with an empty disk from now on.
     fn renew_disk(&mut self, disk: MemberId) {
-        self.parts.clear();
-        let new: MemberId = self.chance.random::<u64>().max(1);
+        self.shards.clear();
+        let new: MemberId = self.rng.random::<u64>().max(1);
         self.info.disk = Some(new);
         self.effects.push(Effect::Log("fenced", format!("disk {disk:x} is {new:x} from now on")));
         self.effects.push(Effect::Renew { disk: new });
@@ -253,7 +253,7 @@
     /// lost and is filled again; a member of the configuration's part takes no part in it until it is replaced.
     pub(crate) fn give_up_disk(&mut self, number: u16) {
         if number == CONTROL {
-            self.parts.remove(&CONTROL);
+            self.shards.remove(&CONTROL);
             self.info.disk = None;
         } else if let Some(disk) = self.info.disk {
             self.renew_disk(disk);
@@ -263,7 +263,7 @@
     /// The seats of a part of batch jobs whose elected leader this is.
     fn next_group(&self, number: u16, members: &[Member]) -> Option<Vec<Member>> {
         let listed: Vec<(Member, bool)> = self
-            .roster
+            .topology
             .stores
             .iter()
             .filter_map(|s| Some((s.seat.member().ok()?, s.is_retiring())))
@@ -272,14 +272,14 @@
         let is_retiring = |m: &Member| listed.iter().any(|(l, retiring)| l.id == m.id && *retiring);
         let could_join = |(store, retiring): &&(Member, bool)| {
             !retiring
-                && !self.roster.is_fenced(store.id)
+                && !self.topology.is_fenced(store.id)
                 && members.iter().all(|m| m.id != store.id)
                 && self.living.contains_key(&store.at)
         };
-        let may_leave = |m: &Member| is_retiring(m) || self.roster.is_fenced(m.id);
+        let may_leave = |m: &Member| is_retiring(m) || self.topology.is_fenced(m.id);
         let spare: Vec<&Member> = listed.iter().filter(could_join).map(|(store, _)| store).collect();
         // First those that hold nothing any more, then those that are to go, then those that may come back.
-        let lost = members.iter().find(|m| self.roster.is_fenced(m.id) || !is_listed(m));
+        let lost = members.iter().find(|m| self.topology.is_fenced(m.id) || !is_listed(m));
         let leaving = members.iter().find(|m| is_retiring(m));
         let gone = members.iter().find(|m| self.absent(&m.at));
         match lost.or(leaving).or(gone) {
@@ -301,9 +301,11 @@
     }
 
     pub(crate) fn seat_stores(&mut self, number: u16) {
-        let Some(part) = self.parts.get(&number) else { return };
-        let (members, settled) = part.replica.members();
-        if !settled || self.gossip.get(gossip::GROUPS).is_none() || !matches!(part.machine, Machine::Lots(_))
+        let Some(shard) = self.shards.get(&number) else { return };
+        let (members, settled) = shard.replica.members();
+        if !settled
+            || self.gossip.get(gossip::GROUPS).is_none()
+            || !matches!(shard.machine, Machine::BatchJobs(_))
         {
             return;
         }
@@ -316,27 +318,27 @@
 
     /// Tells the configuration's part of the group as it stands, once it has been handed over and all that live hold nearly all.
     fn tell_group(&mut self, number: u16, group: &[Member]) {
-        let Some(part) = self.parts.get(&number).filter(|p| p.led && p.replica.is_handed_over()) else {
+        let Some(shard) = self.shards.get(&number).filter(|p| p.led && p.replica.is_handed_over()) else {
             return;
         };
-        let (term, index) = (part.replica.term(), part.replica.group_index());
-        let behind = part.replica.behind();
+        let (term, index) = (shard.replica.term(), shard.replica.group_index());
+        let behind = shard.replica.behind();
         let holds_all = |m: &Member| {
             m.at == self.info.at
                 || behind.iter().any(|(id, lacks)| *id == m.id && *lacks < NEARLY_ALL)
                 || self.absent(&m.at)
         };
-        let retirements = self.roster.retirements;
-        let is_known = self.roster.group(number).is_some_and(|told| {
+        let retirements = self.topology.retirements;
+        let is_known = self.topology.group(number).is_some_and(|told| {
             let same = told.members.iter().map(|s| s.id).eq(group.iter().map(|m| m.id));
             same && told.retirements == retirements && told.index >= index
         });
         if is_known || !group.iter().all(holds_all) {
             return;
         }
-        let seats: Vec<Seat> = group.iter().map(Seat::from).collect();
+        let seats: Vec<MemberRecord> = group.iter().map(MemberRecord::from).collect();
         let count = seats.len() as u16;
-        let request = Request::Seated { part: number, term, index, retirements, count, seats };
+        let request = Request::Seated { shard: number, term, index, retirements, count, seats };
         self.ask(CONTROL, &request, Bytes::new(), Goal::Nobody, SECOND / 2, 0, 503);
     }
 }
--- a/crates/coordinator/src/serving.rs
+++ b/crates/coordinator/src/serving.rs
@@ -8,7 +8,7 @@
 
 use crate::control::{Change, Store};
 use crate::frame::{Request, Text, join};
-use crate::part::Wanted;
+use crate::shard::Wanted;
 use crate::{Answer, CONTROL, Coordinator, Origin};
 
 /// Reads of batch jobs that wait for a round at once, over all parts led here: one round may answer all of them in one step, each with
@@ -20,7 +20,7 @@
 impl Coordinator {
     /// A call that has come to this process as a part's leader.
     pub(crate) fn serve(&mut self, origin: Origin, number: u16, request: Request, tail: Bytes) {
-        if !self.parts.get(&number).is_some_and(|p| p.replica.leads()) {
+        if !self.shards.get(&number).is_some_and(|p| p.replica.leads()) {
             return self.send_elsewhere(number, origin);
         }
         let name = |text: &Text| text.to_str().map(str::to_owned).unwrap_or_default();
@@ -40,7 +40,7 @@
             }
             (CONTROL, Request::Shelve { seat }) => {
                 let known = seat.member().ok().and_then(|m| {
-                    let control = self.parts.get(&CONTROL)?.control()?;
+                    let control = self.shards.get(&CONTROL)?.control()?;
                     Some(control.stores.get(&m.name)?.member == m)
                 });
                 match known {
@@ -50,27 +50,27 @@
                     }
                 }
             }
-            (CONTROL, Request::Seated { part, term, index, retirements, count, seats }) => {
-                let change = Change::Seated { part, term, index, retirements, count, seats };
+            (CONTROL, Request::Seated { shard, term, index, retirements, count, seats }) => {
+                let change = Change::Seated { shard, term, index, retirements, count, seats };
                 self.propose(number, origin, join(&change, &[]));
             }
-            (1.., Request::Submit { lot, route }) => {
-                self.submit(number, origin, name(&lot), name(&route), tail)
+            (1.., Request::Submit { job, route }) => {
+                self.submit(number, origin, name(&job), name(&route), tail)
             }
-            (1.., Request::Read { lot, since, wait_ms }) => {
+            (1.., Request::Read { job, since, wait_ms }) => {
                 if self.reads_in_hand() >= MOST_READS {
                     return self.reply(origin, Answer::later(503, READ_RETRY));
                 }
                 let until = self.now.steady + Time::from(wait_ms.min(2000)) * 1000;
-                self.read(number, origin, Wanted::Lot { lot: name(&lot), since, until });
+                self.read(number, origin, Wanted::BatchJob { job: name(&job), since, until });
             }
-            (1.., Request::Body { lot, item }) => {
-                self.read(number, origin, Wanted::Body { lot: name(&lot), item: name(&item) });
+            (1.., Request::Body { job, item }) => {
+                self.read(number, origin, Wanted::Body { job: name(&job), item: name(&item) });
             }
-            (1.., Request::End { lot }) => self.end(number, origin, name(&lot)),
-            (1.., Request::Reserve { lot, route, part, tokens, most }) => {
-                let (route, lot, at) = (name(&route), name(&lot), self.now.wall);
-                self.reserve(number, origin, Command::Reserve { route, lot, part, tokens, most, at });
+            (1.., Request::End { job }) => self.end(number, origin, name(&job)),
+            (1.., Request::Reserve { job, route, shard, tokens, most }) => {
+                let (route, job, at) = (name(&route), name(&job), self.now.wall);
+                self.reserve(number, origin, Command::Reserve { route, job, shard, tokens, most, at });
             }
             (1.., Request::Settle) => self.settle_tokens(number, origin, &tail),
             _ => self.reply(origin, Answer::of(400)),
@@ -79,10 +79,10 @@
 
     /// Proposes a command; false where this process does not lead or cannot take it, and the call has gone elsewhere.
     pub(crate) fn propose(&mut self, number: u16, origin: Origin, command: Bytes) -> bool {
-        let Some(part) = self.parts.get_mut(&number) else { return false };
-        match part.replica.propose(self.now.steady, command.clone()) {
+        let Some(shard) = self.shards.get_mut(&number) else { return false };
+        match shard.replica.propose(self.now.steady, command.clone()) {
             Ok((index, _)) => {
-                if let Some((_, lost)) = part.waiting.insert(index, (command, origin)) {
+                if let Some((_, lost)) = shard.waiting.insert(index, (command, origin)) {
                     self.send_proposed_elsewhere(number, lost);
                 }
                 self.drain(number);
@@ -97,22 +97,22 @@
 
     /// Reads of batch jobs that wait for a round; those that wait for an output are not among them.
     fn reads_in_hand(&self) -> usize {
-        let is_of_lot = |wanted: &Wanted| matches!(wanted, Wanted::Lot { .. });
-        let reads = self.parts.values().flat_map(|part| part.reads.values());
-        reads.filter(|(_, wanted)| is_of_lot(wanted)).count()
+        let is_of_job = |wanted: &Wanted| matches!(wanted, Wanted::BatchJob { .. });
+        let reads = self.shards.values().flat_map(|shard| shard.reads.values());
+        reads.filter(|(_, wanted)| is_of_job(wanted)).count()
     }
 
     pub(crate) fn read(&mut self, number: u16, origin: Origin, wanted: Wanted) {
-        let Some(part) = self.parts.get_mut(&number) else { return };
-        part.tickets += 1;
-        part.reads.insert(part.tickets, (origin, wanted));
-        part.replica.read(self.now.steady, part.tickets);
+        let Some(shard) = self.shards.get_mut(&number) else { return };
+        shard.tickets += 1;
+        shard.reads.insert(shard.tickets, (origin, wanted));
+        shard.replica.read(self.now.steady, shard.tickets);
         self.drain(number);
     }
 
     pub(crate) fn configure(&mut self, origin: Origin, base: u64, text: Bytes) {
         let Ok(read) = Configuration::read(&text) else { return self.reply(origin, Answer::of(400)) };
-        let Some(control) = self.parts.get(&CONTROL).and_then(|p| p.control()) else { return };
+        let Some(control) = self.shards.get(&CONTROL).and_then(|p| p.control()) else { return };
         let version = read.version;
         // An accepted order stays accepted, so this copy may say so. Every refusal is agreed on first: a leader that was replaced
         // without knowing it has an old copy.
@@ -124,7 +124,7 @@
 
     /// Retires a store, once a round has shown that this leader's copy is not old.
     pub(crate) fn retire(&mut self, origin: Origin, store: String) {
-        let Some(control) = self.parts.get(&CONTROL).and_then(|p| p.control()) else { return };
+        let Some(control) = self.shards.get(&CONTROL).and_then(|p| p.control()) else { return };
         let Some(entry) = control.stores.get(&store) else {
             return self.reply(origin, Answer::of(404));
         };
@@ -152,24 +152,24 @@
     pub(crate) fn show(&mut self, number: u16, origin: Origin, wanted: Wanted) {
         match wanted {
             Wanted::Configuration => {
-                let Some(control) = self.parts.get(&number).and_then(|p| p.control()) else { return };
+                let Some(control) = self.shards.get(&number).and_then(|p| p.control()) else { return };
                 let text = control.text.clone();
                 let none = Answer::of(404);
                 self.reply(origin, if text.is_empty() { none } else { Answer::json(200, text) });
             }
             Wanted::Retire(store) => self.retire(origin, store),
             Wanted::Retiring(store) => {
-                let Some(control) = self.parts.get(&number).and_then(|p| p.control()) else { return };
+                let Some(control) = self.shards.get(&number).and_then(|p| p.control()) else { return };
                 let Some(entry) = control.stores.get(&store) else {
                     return self.reply(origin, Answer::of(404));
                 };
                 let state = if control.may_go(entry) { "complete" } else { "active" };
                 self.reply(origin, Answer::json(200, format!("{{\"state\":\"{state}\"}}")));
             }
-            Wanted::Lot { lot, since, until } => self.show_lot(number, origin, lot, since, until),
-            Wanted::Body { lot, item } => {
-                let Some(register) = self.parts.get(&number).and_then(|p| p.register()) else { return };
-                let body = register.body(&lot, &item);
+            Wanted::BatchJob { job, since, until } => self.show_job(number, origin, job, since, until),
+            Wanted::Body { job, item } => {
+                let Some(register) = self.shards.get(&number).and_then(|p| p.register()) else { return };
+                let body = register.body(&job, &item);
                 let answer = body.map_or(Answer::of(404), |body| Answer { body, ..Answer::of(200) });
                 self.reply(origin, answer);
             }
--- a/crates/coordinator/src/part.rs
+++ b/crates/coordinator/src/shard.rs
@@ -4,17 +4,17 @@
 
 use bytes::Bytes;
 use rainlug::Time;
-use rainlug_batch::{Ledger, Register, Schedule};
+use rainlug_batch::{QuotaLedger, Register, Schedule};
 use rainlug_consensus::{Index, Member, Output, Replica, Restore, Rewrite, Settings};
 use rainlug_registry::gossip;
 
+use crate::capacity::{LogUse, ShardDisk};
 use crate::control::{Control, Outcome};
 use crate::frame::{Head, join};
 use crate::invariants::Invariant;
 pub(crate) use crate::machine::Machine;
 use crate::machine::{RestoreError, Restoring};
 use crate::quota::{Reports, Submitting};
-use crate::room::{LogUse, PartDisk};
 use crate::{Answer, CONTROL, Coordinator, Effect, Held, News, Origin, SPREADING};
 
 /// Versions of the roster that one term has, as a power of two: those of later leaders are newer.
@@ -28,25 +28,25 @@
     /// Nothing to read: the order is judged once this leader is confirmed.
     Retire(String),
     Retiring(String),
-    Lot {
-        lot: String,
+    BatchJob {
+        job: String,
         since: u64,
         until: Time,
     },
     Body {
-        lot: String,
+        job: String,
         item: String,
     },
 }
 
-pub(crate) struct Part {
+pub(crate) struct Shard {
     pub number: u16,
     pub replica: Replica,
     pub machine: Machine,
     /// A state that is built beside the one in force.
     pub restoring: Option<Restoring>,
     /// Tokens of the routes that this part counts.
-    pub ledger: Ledger,
+    pub quota_ledger: QuotaLedger,
     /// What its leader reports to ledgers; none while it does not lead.
     pub reports: Option<Reports>,
     /// Proposals by index, with the command: another one committed there is not theirs.
@@ -62,14 +62,14 @@
     pub swept: Time,
     /// Since when it may be given up: nobody leads it, and its group is told to be without this disk.
     pub seatless_since: Option<Time>,
-    pub disk: PartDisk,
+    pub disk: ShardDisk,
     /// A snapshot of the machine is asked for.
     pub compact_wanted: bool,
     /// Batch jobs that are judged or proposed and not agreed on.
     pub submitting: BTreeMap<String, Submitting>,
 }
 
-impl Part {
+impl Shard {
     pub fn open(
         number: u16,
         me: Member,
@@ -80,12 +80,12 @@
         now: Time,
     ) -> Result<Self, rainlug_consensus::DecodeError> {
         let replica = Replica::recover(me, founding, settings, records, seed, now)?;
-        Ok(Part {
+        Ok(Shard {
             number,
             replica,
             machine: Machine::empty(number),
             restoring: None,
-            ledger: Ledger::default(),
+            quota_ledger: QuotaLedger::default(),
             reports: None,
             waiting: BTreeMap::new(),
             reads: BTreeMap::new(),
@@ -96,7 +96,7 @@
             pause: 0,
             swept: now,
             seatless_since: None,
-            disk: PartDisk::of(records),
+            disk: ShardDisk::of(records),
             compact_wanted: false,
             submitting: BTreeMap::new(),
         })
@@ -107,14 +107,14 @@
         match step {
             Restore::Begin => self.restoring = Some(self.machine.restore_begin()),
             Restore::Abandon => self.restoring = None,
-            Restore::Piece(piece) => {
-                self.restoring.as_mut().ok_or(RestoreError::NotBegun)?.take(&piece)?;
+            Restore::Chunk(chunk) => {
+                self.restoring.as_mut().ok_or(RestoreError::NotBegun)?.take(&chunk)?;
             }
             Restore::Finish(_) => {
                 let restoring = self.restoring.take().ok_or(RestoreError::NotBegun)?;
-                let (machine, ledger) = restoring.finish()?;
+                let (machine, quota_ledger) = restoring.finish()?;
                 self.machine = machine;
-                self.ledger = ledger;
+                self.quota_ledger = quota_ledger;
             }
         }
         Ok(())
@@ -129,13 +129,13 @@
     pub fn control(&self) -> Option<&Control> {
         match &self.machine {
             Machine::Control(control) => Some(control),
-            Machine::Lots(_) => None,
+            Machine::BatchJobs(_) => None,
         }
     }
 
     pub fn register(&self) -> Option<&Register> {
         match &self.machine {
-            Machine::Lots(register) => Some(register),
+            Machine::BatchJobs(register) => Some(register),
             Machine::Control(_) => None,
         }
     }
@@ -144,7 +144,7 @@
     pub fn log_use(&self) -> LogUse {
         let length = self.disk.length;
         match &self.machine {
-            Machine::Lots(register) => {
+            Machine::BatchJobs(register) => {
                 LogUse { length, rewritten: register.size() as u64, totals: register.totals() }
             }
             Machine::Control(control) => {
@@ -153,29 +153,29 @@
         }
     }
 
-    pub fn figures(&self) -> Vec<(String, f64)> {
+    pub fn metrics(&self) -> Vec<(String, f64)> {
         if self.replica.is_vacant() {
             return Vec::new();
         }
         let name = |what: &str| format!("part_{}_{what}", self.number);
-        let mut figures = vec![
+        let mut metrics = vec![
             (name("leads"), f64::from(u8::from(self.led))),
             (name("term"), self.replica.term() as f64),
             (name("members"), self.replica.members().0.len() as f64),
         ];
         if let Some(register) = self.register() {
-            figures.push((name("bytes"), register.size() as f64));
-            figures.push((name("file_bytes"), self.disk.length as f64));
-            figures.push((name("tokens_counted"), self.ledger.total_tokens() as f64));
+            metrics.push((name("bytes"), register.size() as f64));
+            metrics.push((name("file_bytes"), self.disk.length as f64));
+            metrics.push((name("tokens_counted"), self.quota_ledger.total_tokens() as f64));
         }
         if let Some(reports) = &self.reports {
-            figures.push((name("tokens_waiting"), reports.tokens() as f64));
+            metrics.push((name("tokens_waiting"), reports.tokens() as f64));
         }
         if let Some(schedule) = &self.schedule {
-            figures.push((name("items_running"), schedule.running() as f64));
-            figures.push((name("items_waiting"), schedule.waiting() as f64));
+            metrics.push((name("items_running"), schedule.running() as f64));
+            metrics.push((name("items_waiting"), schedule.waiting() as f64));
         }
-        figures
+        metrics
     }
 }
 
@@ -184,8 +184,8 @@
     /// it is to do. The replica's next time is now then, so that messages and signs of life of others come between.
     pub(crate) fn drain(&mut self, number: u16) {
         for _ in 0..MOST_TAKES {
-            let Some(part) = self.parts.get_mut(&number) else { return };
-            let output = part.replica.take();
+            let Some(shard) = self.shards.get_mut(&number) else { return };
+            let output = shard.replica.take();
             let quiet = output.messages.is_empty()
                 && output.save.is_empty()
                 && output.rewrite.is_none()
@@ -194,19 +194,19 @@
                 && output.reads.is_empty()
                 && !output.changed
                 && !output.compact;
-            if quiet && !std::mem::take(&mut part.compact_wanted) {
+            if quiet && !std::mem::take(&mut shard.compact_wanted) {
                 break;
             }
             if quiet {
                 // Nothing is on its way to the disk but what it was handed: the rewrite may be put off and nothing is missing.
-                let state = part.machine.snapshot_source(&part.ledger);
+                let state = shard.machine.snapshot_source(&shard.quota_ledger);
                 let size = state.size();
-                part.replica.snapshot(self.now.steady, state);
+                shard.replica.snapshot(self.now.steady, state);
                 self.effects.push(Effect::Log("snapshot", format!("part {number}: {size} bytes")));
                 continue;
             }
             self.carry_out(number, output);
-            if self.parts.get(&number).is_none_or(|part| part.replica.has_backlog()) {
+            if self.shards.get(&number).is_none_or(|shard| shard.replica.has_backlog()) {
                 break;
             }
         }
@@ -218,20 +218,20 @@
         for (to, bytes) in output.messages {
             self.effects.push(Effect::Frame {
                 to: to.at,
-                head: join(&Head::Group { part: number }, &[]),
+                head: join(&Head::Group { shard: number }, &[]),
                 tail: bytes,
             });
         }
         if let Some(Rewrite { ticket, records, is_implied }) = output.rewrite {
             let implied = if is_implied { records.count() } else { 0 };
             self.saving(number, ticket);
-            self.effects.push(Effect::Rewrite { part: number, ticket, records, implied });
+            self.effects.push(Effect::Rewrite { shard: number, ticket, records, implied });
         }
         if let Some((ticket, _)) = output.save.last() {
             let ticket = *ticket;
             self.saving(number, ticket);
             let records = output.save.into_iter().map(|(_, record)| record).collect();
-            self.effects.push(Effect::Save { part: number, ticket, records });
+            self.effects.push(Effect::Save { shard: number, ticket, records });
         }
         for step in output.restore {
             self.restore(number, step);
@@ -245,20 +245,20 @@
             self.post();
         }
         for (ticket, result) in output.reads {
-            let Some(part) = self.parts.get_mut(&number) else { return };
-            let Some((origin, wanted)) = part.reads.remove(&ticket) else { continue };
+            let Some(shard) = self.shards.get_mut(&number) else { return };
+            let Some((origin, wanted)) = shard.reads.remove(&ticket) else { continue };
             match result {
                 Ok(()) => self.show(number, origin, wanted),
                 Err(_) => self.send_elsewhere(number, origin),
             }
         }
         if output.compact
-            && let Some(part) = self.parts.get_mut(&number)
+            && let Some(shard) = self.shards.get_mut(&number)
         {
-            if output.is_state_wanted || part.log_use().pays() {
-                part.compact_wanted = true;
+            if output.is_state_wanted || shard.log_use().pays() {
+                shard.compact_wanted = true;
             } else {
-                part.replica.postpone_snapshot();
+                shard.replica.postpone_snapshot();
             }
         }
         if output.changed && number == CONTROL {
@@ -268,17 +268,17 @@
 
     fn saving(&mut self, number: u16, ticket: u64) {
         let now = self.now.steady;
-        if let Some(part) = self.parts.get_mut(&number) {
-            part.disk.saving(now, ticket);
+        if let Some(shard) = self.shards.get_mut(&number) {
+            shard.disk.saving(now, ticket);
         }
     }
 
     fn restore(&mut self, number: u16, step: Restore) {
-        let Some(part) = self.parts.get_mut(&number) else { return };
+        let Some(shard) = self.shards.get_mut(&number) else { return };
         if let Restore::Finish(index) = step {
             self.effects.push(Effect::Log("restore", format!("part {number}: as of entry {index}")));
         }
-        if let Err(error) = part.restore(step) {
+        if let Err(error) = shard.restore(step) {
             self.violated(Invariant::StateRestored, &format_args!("part {number}: {error}"));
             self.give_up_disk(number);
         }
@@ -286,9 +286,9 @@
 
     fn committed(&mut self, number: u16, index: Index, command: &Bytes) {
         let now = self.now.steady;
-        let Some(part) = self.parts.get_mut(&number) else { return };
-        let mine = part.waiting.remove(&index).map(|(own, origin)| (own == command, origin));
-        match &mut part.machine {
+        let Some(shard) = self.shards.get_mut(&number) else { return };
+        let mine = shard.waiting.remove(&index).map(|(own, origin)| (own == command, origin));
+        match &mut shard.machine {
             Machine::Control(control) => {
                 let outcome = control.apply(command);
                 let version = control.version;
@@ -306,24 +306,24 @@
                 let (until, news) = (now + SPREADING, News::Configuration(version));
                 self.held.push(Held { origin, answer, until, news });
             }
-            Machine::Lots(_) => self.lots_committed(number, command, mine),
+            Machine::BatchJobs(_) => self.jobs_committed(number, command, mine),
         }
     }
 
     /// What follows from who leads.
     fn leading(&mut self, number: u16) {
-        let Some(part) = self.parts.get_mut(&number) else { return };
-        let leads = part.replica.leads();
-        if leads == part.led {
+        let Some(shard) = self.shards.get_mut(&number) else { return };
+        let leads = shard.replica.leads();
+        if leads == shard.led {
             return;
         }
-        part.led = leads;
-        let is_whole = !leads || part.restoring.is_none();
-        let term = part.replica.term();
+        shard.led = leads;
+        let is_whole = !leads || shard.restoring.is_none();
+        let term = shard.replica.term();
         if leads {
-            if let Machine::Lots(register) = &part.machine {
-                part.schedule = Some(Schedule::new(register, self.now.wall));
-                part.reports = Some(Reports::new(register, term, self.now.wall));
+            if let Machine::BatchJobs(register) = &shard.machine {
+                shard.schedule = Some(Schedule::new(register, self.now.wall));
+                shard.reports = Some(Reports::new(register, term, self.now.wall));
             }
             self.effects.push(Effect::Log("leads", format!("part {number}, term {term}")));
             self.check(Invariant::LeaderWhole, is_whole, || format!("part {number}, term {term}"));
@@ -331,13 +331,13 @@
                 self.post();
             }
         } else {
-            (part.schedule, part.reports) = (None, None);
+            (shard.schedule, shard.reports) = (None, None);
             let mut proposed: Vec<Origin> =
-                std::mem::take(&mut part.waiting).into_values().map(|w| w.1).collect();
+                std::mem::take(&mut shard.waiting).into_values().map(|w| w.1).collect();
             let mut origins: Vec<Origin> = Vec::new();
-            origins.extend(std::mem::take(&mut part.reads).into_values().map(|r| r.0));
-            origins.extend(std::mem::take(&mut part.polls).into_iter().map(|p| p.0));
-            for submitting in std::mem::take(&mut part.submitting).into_values() {
+            origins.extend(std::mem::take(&mut shard.reads).into_values().map(|r| r.0));
+            origins.extend(std::mem::take(&mut shard.polls).into_iter().map(|p| p.0));
+            for submitting in std::mem::take(&mut shard.submitting).into_values() {
                 if submitting.is_proposed() { &mut proposed } else { &mut origins }
                     .extend(submitting.origins);
             }
@@ -349,20 +349,20 @@
 
     /// The leader of the configuration's part enters what is agreed on in the gossip.
     pub(crate) fn post(&mut self) {
-        let Some(part) = self.parts.get(&CONTROL).filter(|p| p.replica.leads()) else { return };
-        let Some(control) = part.control() else { return };
+        let Some(shard) = self.shards.get(&CONTROL).filter(|p| p.replica.leads()) else { return };
+        let Some(control) = shard.control() else { return };
         let (version, text) = (control.version, control.text.clone());
-        let (core, settled) = part.replica.members();
-        let roster = settled.then(|| control.roster(core));
-        let term = part.replica.term();
+        let (core, settled) = shard.replica.members();
+        let topology = settled.then(|| control.topology(core));
+        let term = shard.replica.term();
         if version > 0 && self.gossip.get(gossip::CONFIGURATION).is_none_or(|(known, _)| known < version) {
             self.enter_text(gossip::CONFIGURATION, version, text);
         }
         // A leader of a later term has told of a newer one.
-        let superseded = self.roster_version >= (term + 1) << ROSTERS_OF_A_TERM;
-        if let Some(roster) = roster.filter(|r| *r != self.roster && !superseded) {
-            let version = (term << ROSTERS_OF_A_TERM).max(self.roster_version) + 1;
-            self.enter_text(gossip::GROUPS, version, roster.encode());
+        let superseded = self.topology_version >= (term + 1) << ROSTERS_OF_A_TERM;
+        if let Some(topology) = topology.filter(|r| *r != self.topology && !superseded) {
+            let version = (term << ROSTERS_OF_A_TERM).max(self.topology_version) + 1;
+            self.enter_text(gossip::GROUPS, version, topology.encode());
         }
     }
 }
--- a/crates/coordinator/src/roster.rs
+++ b/crates/coordinator/src/topology.rs
@@ -5,22 +5,22 @@
 use deku::prelude::*;
 use rainlug_consensus::{Member, MemberId};
 
-use crate::frame::{DecodeError, Seat, join, split};
+use crate::frame::{DecodeError, MemberRecord, join, split};
 
 /// What all processes know of stores and groups.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(ctx = "endian: deku::ctx::Endian", ctx_default = "deku::ctx::Endian::Little", endian = "endian")]
-pub struct Roster {
+pub struct Topology {
     core_count: u16,
     /// The configuration's own group.
     #[deku(count = "core_count")]
-    pub core: Vec<Seat>,
+    pub core: Vec<MemberRecord>,
     store_count: u16,
     #[deku(count = "store_count")]
-    pub stores: Vec<StoreSeat>,
+    pub stores: Vec<StoreRecord>,
     group_count: u16,
     #[deku(count = "group_count")]
-    pub groups: Vec<PartGroup>,
+    pub groups: Vec<ShardReplicaSet>,
     /// Retirements that were ever ordered.
     pub retirements: u32,
     fenced_count: u16,
@@ -32,13 +32,13 @@
 /// A store and whether it is to go.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(ctx = "endian: deku::ctx::Endian", endian = "endian")]
-pub struct StoreSeat {
-    pub seat: Seat,
+pub struct StoreRecord {
+    pub seat: MemberRecord,
     /// The number of its retirement, from 1; 0 where it stays.
     pub retirement: u32,
 }
 
-impl StoreSeat {
+impl StoreRecord {
     pub fn is_retiring(&self) -> bool {
         self.retirement > 0
     }
@@ -47,8 +47,8 @@
 /// A part's group, as its leader has told of it.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(ctx = "endian: deku::ctx::Endian", endian = "endian")]
-pub struct PartGroup {
-    pub part: u16,
+pub struct ShardReplicaSet {
+    pub shard: u16,
     pub term: u64,
     /// The group is as of this entry of the part's log, or a later one; 0 for the first group.
     pub index: u64,
@@ -56,26 +56,32 @@
     pub retirements: u32,
     founding_count: u16,
     #[deku(count = "founding_count")]
-    pub founding: Vec<Seat>,
+    pub founding: Vec<MemberRecord>,
     member_count: u16,
     #[deku(count = "member_count")]
-    pub members: Vec<Seat>,
+    pub members: Vec<MemberRecord>,
 }
 
-impl PartGroup {
+impl ShardReplicaSet {
     /// `at` are term and index.
-    pub fn new(part: u16, at: (u64, u64), retirements: u32, founding: Vec<Seat>, members: Vec<Seat>) -> Self {
+    pub fn new(
+        shard: u16,
+        at: (u64, u64),
+        retirements: u32,
+        founding: Vec<MemberRecord>,
+        members: Vec<MemberRecord>,
+    ) -> Self {
         let (term, index) = at;
         let (founding_count, member_count) = (founding.len() as u16, members.len() as u16);
-        Self { part, term, index, retirements, founding_count, founding, member_count, members }
+        Self { shard, term, index, retirements, founding_count, founding, member_count, members }
     }
 }
 
-impl Roster {
+impl Topology {
     pub fn new(
-        core: Vec<Seat>,
-        stores: Vec<StoreSeat>,
-        groups: Vec<PartGroup>,
+        core: Vec<MemberRecord>,
+        stores: Vec<StoreRecord>,
+        groups: Vec<ShardReplicaSet>,
         retirements: u32,
         fenced: Vec<MemberId>,
     ) -> Self {
@@ -99,7 +105,7 @@
     /// # Errors
     /// Where the bytes are not a roster.
     pub fn decode(bytes: &Bytes) -> Result<Self, DecodeError> {
-        split::<Roster>(bytes).map(|(roster, _)| roster)
+        split::<Topology>(bytes).map(|(topology, _)| topology)
     }
 
     pub fn is_fenced(&self, disk: MemberId) -> bool {
@@ -107,9 +113,9 @@
     }
 
     /// Whether the group that is told of a part, as of an entry no older than this one, is without this disk.
-    pub fn is_without(&self, part: u16, disk: MemberId, index: u64) -> bool {
-        let is_seat = |seat: &Seat| seat.id == disk;
-        self.group(part).is_some_and(|group| group.index >= index && !group.members.iter().any(is_seat))
+    pub fn is_without(&self, shard: u16, disk: MemberId, index: u64) -> bool {
+        let is_seat = |seat: &MemberRecord| seat.id == disk;
+        self.group(shard).is_some_and(|group| group.index >= index && !group.members.iter().any(is_seat))
     }
 
     /// How many seats a disk has in the groups of batch jobs.
@@ -118,17 +124,17 @@
     }
 
     /// The group of a part, where it is founded.
-    pub fn group(&self, part: u16) -> Option<&PartGroup> {
-        self.groups.iter().find(|group| group.part == part)
+    pub fn group(&self, shard: u16) -> Option<&ShardReplicaSet> {
+        self.groups.iter().find(|group| group.shard == shard)
     }
 }
 
-pub fn seats(members: &[Member]) -> Vec<Seat> {
-    members.iter().map(Seat::from).collect()
+pub fn seats(members: &[Member]) -> Vec<MemberRecord> {
+    members.iter().map(MemberRecord::from).collect()
 }
 
 /// # Errors
 /// Where a seat's name is no text.
-pub fn members(seats: &[Seat]) -> Result<Vec<Member>, DecodeError> {
-    seats.iter().map(Seat::member).collect()
+pub fn members(seats: &[MemberRecord]) -> Result<Vec<Member>, DecodeError> {
+    seats.iter().map(MemberRecord::member).collect()
 }
--- a/crates/coordinator/src/workers.rs
+++ b/crates/coordinator/src/worker_calls.rs
@@ -3,11 +3,11 @@
 use rainlug::SECOND;
 use rainlug_registry::{Phase, Worker};
 
-use crate::news::{Held, News};
+use crate::dissemination::{Held, News};
 use crate::{Answer, Coordinator, Origin, SPREADING};
 
 impl Coordinator {
-    pub(crate) fn beat(&mut self, ticket: u64, worker: Worker) {
+    pub(crate) fn heartbeat(&mut self, ticket: u64, worker: Worker) {
         let (id, service, phase) = (worker.id.clone(), worker.service.clone(), worker.phase);
         self.enter(worker);
         if self.is_isolated(self.now) {
@@ -17,12 +17,12 @@
         let elsewhere = registrar.filter(|at| *at != self.info.at);
         let control = elsewhere.and_then(|at| self.living.get(&at)).and_then(|(_, control)| *control);
         if elsewhere.is_none() {
-            self.beats.insert(id.clone(), self.now.steady);
+            self.heartbeats.insert(id.clone(), self.now.steady);
         }
         let body = control.map_or("{}".to_owned(), |at| format!("{{\"beat_addr\":\"{at}\"}}"));
         let answer = Answer::json(200, body);
         if phase >= Phase::Draining {
-            self.beats.remove(&id);
+            self.heartbeats.remove(&id);
         }
         if phase >= Phase::Draining {
             self.hold(ticket, answer, id);
@@ -32,14 +32,14 @@
     }
 
     /// A worker's end is entered also where nothing is known of it: others may know it.
-    pub(crate) fn goodbye(&mut self, ticket: u64, id: String) {
+    pub(crate) fn deregister(&mut self, ticket: u64, id: String) {
         let known = self.gossip.workers().find(|w| w.id == id).cloned();
         let gone = match known {
             Some(worker) => Worker { phase: Phase::Gone, call_seq: worker.call_seq + 1, ..worker },
             None => Worker::tombstone(id.clone()),
         };
         self.enter(gone);
-        self.beats.remove(&id);
+        self.heartbeats.remove(&id);
         if self.is_isolated(self.now) {
             return self.answer(ticket, Answer::later(503, SECOND / 5));
         }
--- a/crates/coordinator/tests/admission.rs
+++ b/crates/coordinator/tests/admission.rs
@@ -4,8 +4,8 @@
 
 use common::{Fleet, MS, figure, settle, stores};
 use rainlug::SECOND;
-use rainlug_coordinator::room::lag_bytes;
-use rainlug_coordinator::{Answer, Call, PARTS};
+use rainlug_coordinator::capacity::lag_bytes;
+use rainlug_coordinator::{Answer, BATCH_SHARDS, Call};
 
 /// Bytes that the narrowest bound leaves to batch jobs.
 const NARROW: u64 = 2_000_000;
@@ -16,7 +16,7 @@
 }
 
 fn read(id: &str) -> Call {
-    Call::Read { lot: id.to_owned(), since: 0, wait: 0 }
+    Call::Read { job: id.to_owned(), since: 0, wait: 0 }
 }
 
 fn sum(fleet: &Fleet, name: &str) -> f64 {
@@ -36,7 +36,7 @@
 
 fn little_memory(fleet: &mut Fleet) {
     fleet.disk_bytes = 32 << 20;
-    let tails = usize::from(PARTS) * lag_bytes(fleet.disk_bytes);
+    let tails = usize::from(BATCH_SHARDS) * lag_bytes(fleet.disk_bytes);
     fleet.memory_bytes = 40_000_000 + tails + NARROW as usize / 4 * 5;
 }
 
@@ -59,7 +59,7 @@
 
 /// A job was just taken by a leader that has no more in use than it may.
 fn assert_taken_within_bounds(fleet: &Fleet) {
-    let mut leaders = (1..=PARTS).filter_map(|part| fleet.leader(part));
+    let mut leaders = (1..=BATCH_SHARDS).filter_map(|shard| fleet.leader(shard));
     assert!(leaders.any(|at| is_within_bounds(fleet, at)), "no leader had room for what was taken");
 }
 
@@ -68,7 +68,7 @@
 fn assert_state_within_bounds(fleet: &Fleet) {
     for at in stores(fleet) {
         let of = |name: &str| figure(fleet, at, name).unwrap_or(0.0);
-        let state: f64 = (1..=PARTS).map(|part| of(&format!("part_{part}_bytes"))).sum();
+        let state: f64 = (1..=BATCH_SHARDS).map(|shard| of(&format!("part_{shard}_bytes"))).sum();
         assert!(state <= of("room_memory_limit_bytes"), "store {at}: {state} bytes of state");
         let (needed, allowed) = (of("room_refill_seconds"), of("room_refill_limit_seconds"));
         assert!(needed <= allowed, "store {at}: a refill takes {needed} s of {allowed}");
@@ -184,11 +184,11 @@
 fn lacking(fleet: &Fleet, among: &[usize]) -> Vec<usize> {
     let has_all = |at: usize| {
         let id = fleet.machines[at].disk.as_ref().map(|disk| disk.id);
-        (1..=PARTS).all(|part| {
-            let Some(leader) = fleet.leader(part) else { return false };
+        (1..=BATCH_SHARDS).all(|shard| {
+            let Some(leader) = fleet.leader(shard) else { return false };
             let Some(coordinator) = &fleet.machines[leader].coordinator else { return false };
-            let bytes = |at| figure(fleet, at, &format!("part_{part}_bytes"));
-            let is_member = coordinator.leads(part).2.iter().any(|member| Some(member.id) == id);
+            let bytes = |at| figure(fleet, at, &format!("part_{shard}_bytes"));
+            let is_member = coordinator.leads(shard).2.iter().any(|member| Some(member.id) == id);
             is_member && bytes(at).is_some() && bytes(at) == bytes(leader)
         })
     };
@@ -222,15 +222,15 @@
     let reckoned = stores(&fleet).into_iter().filter_map(|at| figure(&fleet, at, "room_refill_seconds"));
     let longest = reckoned.fold(0.0, f64::max);
     assert!((4.5..=5.0).contains(&longest), "a refill takes {longest} s as reckoned");
-    let leaders: Vec<usize> = (1..=PARTS).filter_map(|part| fleet.leader(part)).collect();
-    let parts_led = |at: &usize| leaders.iter().filter(|leader| *leader == at).count();
+    let leaders: Vec<usize> = (1..=BATCH_SHARDS).filter_map(|shard| fleet.leader(shard)).collect();
+    let shards_led = |at: &usize| leaders.iter().filter(|leader| *leader == at).count();
     let mut lost = stores(&fleet);
-    lost.sort_by_key(parts_led);
+    lost.sort_by_key(shards_led);
     if with_leader {
         lost.reverse();
     }
     lost.truncate(2);
-    let lost_leaders: usize = lost.iter().map(parts_led).sum();
+    let lost_leaders: usize = lost.iter().map(shards_led).sum();
     assert!(lost_leaders < leaders.len(), "none that leads is left");
     assert!(lost_leaders > 0 || !with_leader, "none that leads is lost");
     lost.iter().for_each(|at| fleet.wipe(*at));
@@ -291,7 +291,7 @@
     let before = fleet.ask(1, read("kept"), 3.0).expect("an answer");
     assert_eq!(before.status, 200);
     let all = stores(&fleet);
-    let leader = *all.iter().find(|at| fleet.leader(part_of_kept(&fleet)) == Some(**at)).expect("one leads");
+    let leader = *all.iter().find(|at| fleet.leader(shard_of_kept(&fleet)) == Some(**at)).expect("one leads");
     all.iter().filter(|at| **at != leader).for_each(|at| fleet.machines[*at].skew = skew_ms * MS);
     fleet.kill(leader, true);
     loop {
@@ -307,9 +307,9 @@
 }
 
 /// The part that has the one batch job.
-fn part_of_kept(fleet: &Fleet) -> u16 {
-    let bytes = |part: &u16| sum(fleet, &format!("part_{part}_bytes")) as u64;
-    (1..=PARTS).max_by_key(bytes).expect("there are parts")
+fn shard_of_kept(fleet: &Fleet) -> u16 {
+    let bytes = |shard: &u16| sum(fleet, &format!("part_{shard}_bytes")) as u64;
+    (1..=BATCH_SHARDS).max_by_key(bytes).expect("there are parts")
 }
 
 #[test]
--- a/crates/coordinator/tests/room.rs
+++ b/crates/coordinator/tests/capacity.rs
@@ -4,9 +4,9 @@
 use proptest::prelude::*;
 use rainlug::{SECOND, Time};
 use rainlug_batch::{Applied, Command, Item, Register, State, StoredText, Totals};
-use rainlug_coordinator::room::{
-    Bounds, DISK_PATIENCE, LogUse, PartDisk, PartUse, Refusal, Refusals, Usage, job_bytes, lag_bytes,
-    parts_to_bear,
+use rainlug_coordinator::capacity::{
+    Bounds, DISK_PATIENCE, LogUse, Refusal, Refusals, ShardDisk, ShardUsage, Usage, job_bytes, lag_bytes,
+    shards_to_absorb,
 };
 
 const MEGABYTE: u64 = 1_000_000;
@@ -34,7 +34,10 @@
 }
 
 fn usage(logs: &[LogUse]) -> Usage {
-    Usage { parts: logs.iter().map(|log| PartUse { log: *log, is_led: true }).collect(), ..Usage::default() }
+    Usage {
+        shards: logs.iter().map(|log| ShardUsage { log: *log, is_led: true }).collect(),
+        ..Usage::default()
+    }
 }
 
 #[test]
@@ -70,23 +73,24 @@
 
 #[test]
 fn parts_that_may_come_from_lost_stores_have_room_too() {
-    let held = |parts_to_bear| Usage { parts_to_bear, ..usage(&[log(10 * MEGABYTE, 10 * MEGABYTE, 0)]) };
-    let left = |parts: u64| (USABLE - 10 * MEGABYTE) / parts - 10 * MEGABYTE;
-    for parts in 1..=4 {
-        assert_eq!(disk_of(CAPACITY).admit(&held(parts), left(parts)), Ok(()));
-        assert_eq!(disk_of(CAPACITY).admit(&held(parts), left(parts) + 1), Err(Refusal::Disk));
+    let held =
+        |shards_to_absorb| Usage { shards_to_absorb, ..usage(&[log(10 * MEGABYTE, 10 * MEGABYTE, 0)]) };
+    let left = |shards: u64| (USABLE - 10 * MEGABYTE) / shards - 10 * MEGABYTE;
+    for shards in 1..=4 {
+        assert_eq!(disk_of(CAPACITY).admit(&held(shards), left(shards)), Ok(()));
+        assert_eq!(disk_of(CAPACITY).admit(&held(shards), left(shards) + 1), Err(Refusal::Disk));
     }
 }
 
 #[test]
 fn seats_of_lost_stores_are_reckoned_where_they_go() {
     // Four parts of five members each: on nine stores, and on five of eight that are left.
-    assert_eq!(parts_to_bear(4, 5, 9, 2), 3);
-    assert_eq!(parts_to_bear(4, 5, 7, 2), 4);
-    assert_eq!(parts_to_bear(4, 3, 4, 1), 4);
-    assert_eq!(parts_to_bear(4, 5, 12, 2), 2);
+    assert_eq!(shards_to_absorb(4, 5, 9, 2), 3);
+    assert_eq!(shards_to_absorb(4, 5, 7, 2), 4);
+    assert_eq!(shards_to_absorb(4, 3, 4, 1), 4);
+    assert_eq!(shards_to_absorb(4, 5, 12, 2), 2);
     // Never more than there are, also where no store would be left.
-    assert_eq!(parts_to_bear(4, 3, 1, 1), 4);
+    assert_eq!(shards_to_absorb(4, 3, 1, 1), 4);
 }
 
 #[test]
@@ -104,13 +108,13 @@
     // 75 MB are used and 60 free: the copy of 50 has room, and 25 come back.
     let long = usage(&[log(75 * MEGABYTE, 50 * MEGABYTE, 0)]);
     assert_eq!(disk.admit(&long, 30 * MEGABYTE), Err(Refusal::Disk));
-    assert!(disk.is_rewrite_due(&long, &long.parts[0].log));
+    assert!(disk.is_rewrite_due(&long, &long.shards[0].log));
     let rewritten = usage(&[log(50 * MEGABYTE, 50 * MEGABYTE, 0)]);
     assert_eq!(disk.admit(&rewritten, 30 * MEGABYTE), Ok(()));
-    assert!(!disk.is_rewrite_due(&rewritten, &rewritten.parts[0].log));
+    assert!(!disk.is_rewrite_due(&rewritten, &rewritten.shards[0].log));
     // A copy of 62 MB has no room beside the file of 75.
     let without_room = usage(&[log(78 * MEGABYTE, 62 * MEGABYTE, 0)]);
-    assert!(!disk.is_rewrite_due(&without_room, &without_room.parts[0].log));
+    assert!(!disk.is_rewrite_due(&without_room, &without_room.shards[0].log));
     // Once the shorter one is rewritten, the longer one's copy has room.
     let (first, second) = (log(55 * MEGABYTE, 42 * MEGABYTE, 0), log(45 * MEGABYTE, 20 * MEGABYTE, 0));
     let both = usage(&[first, second]);
@@ -134,7 +138,7 @@
 
 #[test]
 fn a_rewrite_is_not_asked_for_again_soon_nor_of_a_disk_that_stalls() {
-    let mut disk = PartDisk::default();
+    let mut disk = ShardDisk::default();
     assert!(disk.may_ask_rewrite(20 * SECOND));
     assert!(!disk.may_ask_rewrite(25 * SECOND - 1));
     assert!(disk.may_ask_rewrite(25 * SECOND));
@@ -168,13 +172,13 @@
     let held = usage(&[log(90 * MEGABYTE, MEGABYTE, 0)]);
     assert_eq!(bounds.admit(&held, 10 * MEGABYTE), Ok(()));
     assert_eq!(bounds.admit(&held, 10 * MEGABYTE + 1), Err(Refusal::Memory));
-    assert!(bounds.is_rewrite_due(&held, &held.parts[0].log));
+    assert!(bounds.is_rewrite_due(&held, &held.shards[0].log));
 }
 
 #[test]
 fn each_more_part_leaves_less_memory_to_the_state() {
     let bounds = Bounds { memory_bytes: 300 * MEGABYTE, ..disk_of(CAPACITY) };
-    let of = |parts| bounds.memory_limit(parts);
+    let of = |shards| bounds.memory_limit(shards);
     assert!(of(1) > of(2) && of(2) > of(4));
     assert_eq!((of(1) - of(2)) / 1000, lag_bytes(CAPACITY as usize) as u64 * 4 / 5 / 1000);
 }
@@ -221,7 +225,7 @@
     assert_eq!(bounds.admit(&led, 1001), Err(Refusal::Refill));
     // What another store leads is sent from there, and counts once.
     let mut both = usage(&[log(0, REFILL / 4, 0), log(0, REFILL / 2, 0)]);
-    both.parts[1].is_led = false;
+    both.shards[1].is_led = false;
     assert_eq!(bounds.admit(&both, REFILL / 4), Ok(()));
     assert_eq!(bounds.admit(&both, REFILL / 4 + 1000), Err(Refusal::Refill));
 }
@@ -240,8 +244,8 @@
 #[test]
 fn an_output_takes_no_more_room_than_is_reckoned() {
     let text = StoredText::plain(&[b'x'; 5000]);
-    let (lot, item) = ("f28f2dda36c74a36".to_owned(), "f28f2dda36c74a36-000123".to_owned());
-    let command = Command::List { lot, item, state: State::Complete, text }.encode();
+    let (job, item) = ("f28f2dda36c74a36".to_owned(), "f28f2dda36c74a36-000123".to_owned());
+    let command = Command::List { job, item, state: State::Complete, text }.encode();
     let taken = command.len() as u64 + RECORD_HEADERS;
     let reckoned = log(0, 0, 0).mean_output();
     assert!((taken..taken + 100).contains(&reckoned), "{taken} bytes, {reckoned} reckoned");
@@ -263,7 +267,7 @@
 
 #[test]
 fn a_disk_is_stalled_once_something_waits_too_long() {
-    let mut disk = PartDisk::default();
+    let mut disk = ShardDisk::default();
     assert!(!disk.is_stalled(100 * SECOND));
     disk.saving(0, 1);
     disk.saving(DISK_PATIENCE, 2);
@@ -278,16 +282,16 @@
 }
 
 /// A part as the disk and the state machine have it.
-struct Part {
+struct Shard {
     register: Register,
     length: u64,
-    lots: Vec<(String, Vec<String>)>,
+    jobs: Vec<(String, Vec<String>)>,
 }
 
 /// A store that admits batch jobs by its bounds.
 struct Store {
     bounds: Bounds,
-    parts: Vec<Part>,
+    shards: Vec<Shard>,
     accepted: usize,
     refused: usize,
     now: Time,
@@ -299,74 +303,74 @@
 /// What happens at a store; the number of a part is taken modulo the count of parts.
 #[derive(Clone, Debug)]
 enum Step {
-    Submit { part: usize, items: usize, body: usize, headers: usize, id: usize },
-    List { part: usize, count: usize },
-    End { part: usize, lot: usize },
-    Forget { part: usize },
+    Submit { shard: usize, items: usize, body: usize, headers: usize, id: usize },
+    List { shard: usize, count: usize },
+    End { shard: usize, job: usize },
+    Forget { shard: usize },
     Rewrite,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let submit = (0..4_usize, 1..40_usize, 0..2000_usize, 0..8_usize, 1..200_usize)
-        .prop_map(|(part, items, body, headers, id)| Step::Submit { part, items, body, headers, id });
+        .prop_map(|(shard, items, body, headers, id)| Step::Submit { shard, items, body, headers, id });
     let step = prop_oneof![
         8 => submit,
-        8 => (0..4_usize, 1..60_usize).prop_map(|(part, count)| Step::List { part, count }),
-        1 => (0..4_usize, 0..20_usize).prop_map(|(part, lot)| Step::End { part, lot }),
-        1 => (0..4_usize).prop_map(|part| Step::Forget { part }),
+        8 => (0..4_usize, 1..60_usize).prop_map(|(shard, count)| Step::List { shard, count }),
+        1 => (0..4_usize, 0..20_usize).prop_map(|(shard, job)| Step::End { shard, job }),
+        1 => (0..4_usize).prop_map(|shard| Step::Forget { shard }),
         4 => Just(Step::Rewrite),
     ];
     prop::collection::vec(step, 1..120)
 }
 
 impl Store {
-    fn new(bounds: Bounds, parts: usize, output: usize) -> Self {
-        let part = || Part { register: Register::default(), length: 0, lots: Vec::new() };
-        let parts = (0..parts).map(|_| part()).collect();
-        Store { bounds, parts, accepted: 0, refused: 0, now: 0, output, rewrites: true }
+    fn new(bounds: Bounds, shards: usize, output: usize) -> Self {
+        let shard = || Shard { register: Register::default(), length: 0, jobs: Vec::new() };
+        let shards = (0..shards).map(|_| shard()).collect();
+        Store { bounds, shards, accepted: 0, refused: 0, now: 0, output, rewrites: true }
     }
 
     fn usage(&self) -> Usage {
-        let log = |part: &Part| LogUse {
-            length: part.length,
-            rewritten: part.register.size() as u64,
-            totals: part.register.totals(),
+        let log = |shard: &Shard| LogUse {
+            length: shard.length,
+            rewritten: shard.register.size() as u64,
+            totals: shard.register.totals(),
         };
-        usage(&self.parts.iter().map(log).collect::<Vec<_>>())
+        usage(&self.shards.iter().map(log).collect::<Vec<_>>())
     }
 
-    fn apply(&mut self, part: usize, command: &Command) -> Applied {
-        let part = &mut self.parts[part];
+    fn apply(&mut self, shard: usize, command: &Command) -> Applied {
+        let shard = &mut self.shards[shard];
         // What is kept back of the disk has room for orders of no length.
         if !matches!(command, Command::End { .. } | Command::Forget { .. }) {
-            part.length += command.encode().len() as u64 + RECORD_HEADERS;
+            shard.length += command.encode().len() as u64 + RECORD_HEADERS;
         }
-        part.register.apply(command)
+        shard.register.apply(command)
     }
 
     fn step(&mut self, step: &Step) {
         self.now += SECOND;
         match *step {
-            Step::Submit { part, items, body, headers, id } => {
-                self.submit(part % self.parts.len(), items, body, headers, id);
+            Step::Submit { shard, items, body, headers, id } => {
+                self.submit(shard % self.shards.len(), items, body, headers, id);
             }
-            Step::List { part, count } => (0..count).for_each(|_| self.list(part % self.parts.len())),
-            Step::End { part, lot } => {
-                let part = part % self.parts.len();
-                let lots = &self.parts[part].lots;
-                if let Some((lot, _)) = lots.get(lot % lots.len().max(1)).cloned() {
-                    self.apply(part, &Command::End { lot, at: self.now });
+            Step::List { shard, count } => (0..count).for_each(|_| self.list(shard % self.shards.len())),
+            Step::End { shard, job } => {
+                let shard = shard % self.shards.len();
+                let jobs = &self.shards[shard].jobs;
+                if let Some((job, _)) = jobs.get(job % jobs.len().max(1)).cloned() {
+                    self.apply(shard, &Command::End { job, at: self.now });
                 }
             }
-            Step::Forget { part } => {
-                let part = part % self.parts.len();
-                self.apply(part, &Command::Forget { before: self.now + 1 });
+            Step::Forget { shard } => {
+                let shard = shard % self.shards.len();
+                self.apply(shard, &Command::Forget { before: self.now + 1 });
             }
             Step::Rewrite => self.rewrite(),
         }
     }
 
-    fn submit(&mut self, part: usize, items: usize, body: usize, headers: usize, id: usize) {
+    fn submit(&mut self, shard: usize, items: usize, body: usize, headers: usize, id: usize) {
         let name = format!("lot-{}", self.accepted + self.refused);
         let items: Vec<Item> =
             (0..items).map(|n| item(format!("{name}-{n}{}", "i".repeat(id)), body, headers)).collect();
@@ -374,7 +378,7 @@
         let text =
             |item: &Item| item.id.len() + item.path.len() + item.body.len() + 7 * item.headers.len() + 50;
         let request: usize = items.iter().map(text).sum();
-        let mean = self.usage().parts[part].log.mean_output();
+        let mean = self.usage().shards[shard].log.mean_output();
         if self.bounds.admit(&self.usage(), job_bytes(request, &items, mean)).is_err() {
             self.refused += 1;
             return;
@@ -382,7 +386,7 @@
         self.accepted += 1;
         let ids = items.iter().map(|item| item.id.clone()).collect();
         let command = Command::Submit {
-            lot: name.clone(),
+            job: name.clone(),
             route: "lots".to_owned(),
             host: "a.example".to_owned(),
             sent: self.now,
@@ -392,22 +396,22 @@
             most: 0,
             items,
         };
-        assert_eq!(self.apply(part, &command), Applied::Accepted);
-        self.parts[part].lots.push((name, ids));
+        assert_eq!(self.apply(shard, &command), Applied::Accepted);
+        self.shards[shard].jobs.push((name, ids));
     }
 
     /// The next item's output comes.
-    fn list(&mut self, part: usize) {
-        let found = self.parts[part].lots.iter_mut().find_map(|(lot, ids)| Some((lot.clone(), ids.pop()?)));
-        let Some((lot, item)) = found else { return };
+    fn list(&mut self, shard: usize) {
+        let found = self.shards[shard].jobs.iter_mut().find_map(|(job, ids)| Some((job.clone(), ids.pop()?)));
+        let Some((job, item)) = found else { return };
         let text = Bytes::from(vec![b'y'; self.output]);
-        let command = Command::List { lot, item, state: State::Complete, text: StoredText::plain(&text) };
+        let command = Command::List { job, item, state: State::Complete, text: StoredText::plain(&text) };
         // Of a batch job that was ended, nothing is listed any more.
-        let open = self.parts[part].register.totals().open;
-        let is_ended = matches!(&command, Command::List { lot, item, .. }
-            if self.parts[part].register.body(lot, item).is_none());
+        let open = self.shards[shard].register.totals().open;
+        let is_ended = matches!(&command, Command::List { job, item, .. }
+            if self.shards[shard].register.body(job, item).is_none());
         if open > 0 && !is_ended {
-            assert!(matches!(self.apply(part, &command), Applied::Listed { .. }));
+            assert!(matches!(self.apply(shard, &command), Applied::Listed { .. }));
         }
     }
 
@@ -416,37 +420,37 @@
         if !self.rewrites {
             return;
         }
-        for place in 0..self.parts.len() {
+        for place in 0..self.shards.len() {
             let usage = self.usage();
-            if self.bounds.is_rewrite_due(&usage, &usage.parts[place].log) {
-                let part = &mut self.parts[place];
-                part.length = part.register.snapshot().size() + RECORD_HEADERS;
+            if self.bounds.is_rewrite_due(&usage, &usage.shards[place].log) {
+                let shard = &mut self.shards[place];
+                shard.length = shard.register.snapshot().size() + RECORD_HEADERS;
             }
         }
     }
 
     /// No bound is passed, by bytes as they are encoded.
     fn check(&self) {
-        let files: u64 = self.parts.iter().map(|part| part.length).sum();
-        let state: u64 = self.parts.iter().map(|part| part.register.size() as u64).sum();
-        let sent: u64 = self.parts.iter().map(|part| part.register.snapshot().size()).sum();
+        let files: u64 = self.shards.iter().map(|shard| shard.length).sum();
+        let state: u64 = self.shards.iter().map(|shard| shard.register.size() as u64).sum();
+        let sent: u64 = self.shards.iter().map(|shard| shard.register.snapshot().size()).sum();
         // A snapshot of nothing has its counts, and a rewritten file the headers of its record.
-        let counts = (64 + RECORD_HEADERS) * self.parts.len() as u64;
+        let counts = (64 + RECORD_HEADERS) * self.shards.len() as u64;
         assert!(sent <= state + counts, "a snapshot of {sent} bytes, {state} reckoned");
-        assert!(state <= self.bounds.memory_limit(self.parts.len()), "{state} bytes of state");
-        assert!(files <= self.bounds.memory_limit(self.parts.len()) + counts, "{files} bytes for a restart");
+        assert!(state <= self.bounds.memory_limit(self.shards.len()), "{state} bytes of state");
+        assert!(files <= self.bounds.memory_limit(self.shards.len()) + counts, "{files} bytes for a restart");
         assert!(files <= self.bounds.disk_limit() + counts, "{files} bytes on the disk");
         assert!(sent * self.bounds.copies <= self.bounds.refill_limit() + 2 * counts, "{sent} bytes to copy");
     }
 
     /// All is listed and forgotten, and the rewrites that are due are made.
     fn clear(&mut self) {
-        for part in 0..self.parts.len() {
-            while self.parts[part].lots.iter().any(|(_, ids)| !ids.is_empty()) {
-                self.list(part);
+        for shard in 0..self.shards.len() {
+            while self.shards[shard].jobs.iter().any(|(_, ids)| !ids.is_empty()) {
+                self.list(shard);
             }
-            self.apply(part, &Command::Forget { before: self.now + 1 });
-            self.parts[part].lots.clear();
+            self.apply(shard, &Command::Forget { before: self.now + 1 });
+            self.shards[shard].jobs.clear();
         }
         self.rewrite();
     }
@@ -467,9 +471,9 @@
     }
 }
 
-fn small(bounds: Bounds, parts: usize) -> Bounds {
+fn small(bounds: Bounds, shards: usize) -> Bounds {
     // The memory's share for each part's tail is the same, however many there are.
-    let tails = lag_bytes(0) as u64 * parts as u64;
+    let tails = lag_bytes(0) as u64 * shards as u64;
     Bounds { memory_bytes: bounds.memory_bytes - 2 * lag_bytes(0) as u64 + tails, ..bounds }
 }
 
@@ -480,18 +484,18 @@
     #[test]
     fn what_is_accepted_never_passes_a_bound(
         bounds in bounds(),
-        parts in 1..4_usize,
+        shards in 1..4_usize,
         output in 0..4096_usize,
         steps in steps(),
     ) {
-        let mut store = Store::new(small(bounds, parts), parts, output);
+        let mut store = Store::new(small(bounds, shards), shards, output);
         for step in &steps {
             store.step(step);
             store.check();
         }
         // All outputs come, and nothing is rewritten: no rewrite was ever needed.
         store.rewrites = false;
-        (0..parts).for_each(|part| (0..5000).for_each(|_| store.list(part)));
+        (0..shards).for_each(|shard| (0..5000).for_each(|_| store.list(shard)));
         store.check();
     }
 
@@ -499,13 +503,13 @@
     #[test]
     fn once_all_is_forgotten_there_is_room_again(
         bounds in bounds(),
-        parts in 1..4_usize,
+        shards in 1..4_usize,
         output in 0..4096_usize,
     ) {
-        let mut store = Store::new(small(bounds, parts), parts, output);
+        let mut store = Store::new(small(bounds, shards), shards, output);
         for nth in 0..1000 {
-            store.step(&Step::Submit { part: nth, items: 20, body: 500, headers: 3, id: 8 });
-            store.step(&Step::List { part: nth, count: 10 });
+            store.step(&Step::Submit { shard: nth, items: 20, body: 500, headers: 3, id: 8 });
+            store.step(&Step::List { shard: nth, count: 10 });
             if store.refused > 0 {
                 break;
             }
@@ -514,7 +518,7 @@
         let accepted = store.accepted;
         store.clear();
         store.check();
-        store.step(&Step::Submit { part: 0, items: 5, body: 500, headers: 3, id: 8 });
+        store.step(&Step::Submit { shard: 0, items: 5, body: 500, headers: 3, id: 8 });
         prop_assert_eq!(store.accepted, accepted + 1);
     }
 }
@@ -523,8 +527,8 @@
 fn overfill(bounds: Bounds, narrow: impl Fn(Bounds) -> Bounds) {
     let mut store = Store::new(bounds, 1, 1000);
     for _ in 0..200 {
-        store.step(&Step::Submit { part: 0, items: 20, body: 500, headers: 3, id: 8 });
-        store.step(&Step::List { part: 0, count: 20 });
+        store.step(&Step::Submit { shard: 0, items: 20, body: 500, headers: 3, id: 8 });
+        store.step(&Step::List { shard: 0, count: 20 });
     }
     store.bounds = narrow(store.bounds);
     store.check();
--- a/crates/coordinator/tests/catch_up.rs
+++ b/crates/coordinator/tests/catch_up.rs
@@ -390,26 +390,25 @@
 fn course(seed: u64, disks: Disks) -> Result<u64, String> {
     const CORE: usize = 4;
     const STEPS: usize = 60;
-    let mut chance = ChaCha8Rng::seed_from_u64(seed);
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let fleet = settled(CORE, PLAIN, STORES, seed);
     let mut operated = Operated { fleet, version: 5, size: SMALL, slowest: 0 };
     // Since when all have been there, as far as disks count.
     let mut whole = operated.fleet.now;
     for step in 0..STEPS {
-        for _ in 0..chance.random_range(1..8) {
+        for _ in 0..rng.random_range(1..8) {
             operated.try_change().map_err(|status| format!("step {step}: refused with {status}"))?;
             operated.fleet.pass(PAUSE);
         }
-        let at = chance.random_range(0..CORE);
+        let at = rng.random_range(0..CORE);
         let runs = |machine: &Machine| machine.coordinator.is_some() && !machine.frozen;
         let machines = &operated.fleet.machines;
         let all_up = machines.iter().all(runs) && !operated.fleet.is_cut();
         let calm = all_up && operated.fleet.now - whole > (SYNC * SECOND as f64) as Time;
         let rest: Vec<usize> = (0..machines.len()).filter(|other| *other != at).collect();
-        let trouble =
-            [Trouble::Kill, Trouble::Freeze, Trouble::Cut, Trouble::Wipe][chance.random_range(0..4)];
+        let trouble = [Trouble::Kill, Trouble::Freeze, Trouble::Cut, Trouble::Wipe][rng.random_range(0..4)];
         match trouble {
-            _ if chance.random_bool(0.4) => {
+            _ if rng.random_bool(0.4) => {
                 operated.end_troubles();
                 whole = if all_up { whole } else { operated.fleet.now };
             }
@@ -426,7 +425,7 @@
             Trouble::Wipe if calm => operated.fleet.wipe(at),
             Trouble::Wipe => {}
         }
-        if chance.random_bool(0.3) {
+        if rng.random_bool(0.3) {
             operated.fleet.pass(SYNC);
         }
     }
--- a/crates/coordinator/tests/cold_review.rs
+++ b/crates/coordinator/tests/cold_review.rs
@@ -5,9 +5,9 @@
 
 use std::collections::BTreeMap;
 
-use common::{Fleet, MS, lots_of, settle, stores, submit};
+use common::{Fleet, MS, jobs_of, settle, stores, submit};
 use rainlug::{SECOND, Time};
-use rainlug_coordinator::{Call, PARTS};
+use rainlug_coordinator::{BATCH_SHARDS, Call};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -18,7 +18,7 @@
 const NOISE: usize = 30_000;
 
 fn read(id: &str, since: u64) -> Call {
-    Call::Read { lot: id.to_owned(), since, wait: 0 }
+    Call::Read { job: id.to_owned(), since, wait: 0 }
 }
 
 fn log_count(fleet: &Fleet, what: &str) -> usize {
@@ -74,16 +74,16 @@
     fleet.link = Some(7_500_000);
     fleet.link_bytes_per_second = 60_000_000;
     settle(&mut fleet);
-    let mut chance = ChaCha8Rng::seed_from_u64(seed);
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut jobs: BTreeMap<String, Job> = BTreeMap::new();
     let (mut count, mut checked) = (0, 0);
     for _ in 0..10 {
         let mut lost: Vec<usize> = Vec::new();
-        for _ in 0..chance.random_range(1..=tolerate) {
+        for _ in 0..rng.random_range(1..=tolerate) {
             let left: Vec<usize> = stores(&fleet).into_iter().filter(|at| !lost.contains(at)).collect();
-            lost.push(*left.choose(&mut chance).expect("a store"));
+            lost.push(*left.choose(&mut rng).expect("a store"));
         }
-        let how = chance.random_range(0..4);
+        let how = rng.random_range(0..4);
         for step in 0..16 {
             if step == 4 {
                 let others: Vec<usize> = (0..fleet.machines.len()).filter(|at| !lost.contains(at)).collect();
@@ -95,17 +95,17 @@
                 }
             }
             count += 1;
-            let (name, items) = (format!("day-{count}"), chance.random_range(1..8));
+            let (name, items) = (format!("day-{count}"), rng.random_range(1..8));
             let sent = fleet.now;
-            let answer = fleet.ask(chance.random_range(0..gateways), submit(&name, items), 3.5);
+            let answer = fleet.ask(rng.random_range(0..gateways), submit(&name, items), 3.5);
             if answer.is_some_and(|answer| answer.status == 202) {
                 jobs.insert(name, Job { sent, items, outputs: Vec::new() });
             }
             let newest: Vec<String> = jobs.keys().cloned().collect();
-            if let Some(name) = newest.choose(&mut chance)
+            if let Some(name) = newest.choose(&mut rng)
                 && let Some(job) = jobs.get_mut(name)
             {
-                let gateway = chance.random_range(0..gateways);
+                let gateway = rng.random_range(0..gateways);
                 checked += usize::from(check(&mut fleet, gateway, name, job, seed));
             }
             fleet.pass(0.1);
@@ -120,7 +120,7 @@
         }
         let before = fleet.now;
         for (name, job) in &mut jobs {
-            checked += usize::from(check(&mut fleet, chance.random_range(0..gateways), name, job, seed));
+            checked += usize::from(check(&mut fleet, rng.random_range(0..gateways), name, job, seed));
         }
         fleet.pass((6.0 - (fleet.now - before) as f64 / SECOND as f64).max(0.0));
         jobs.retain(|_, job| fleet.now - job.sent < STATUS_TIME);
@@ -173,16 +173,16 @@
 
 /// Takes a job in each part and reads it back, within so many seconds.
 #[track_caller]
-fn all_parts_serve(fleet: &mut Fleet, gateway: usize, seed: u64, seconds: f64) {
+fn all_shards_serve(fleet: &mut Fleet, gateway: usize, seed: u64, seconds: f64) {
     let end = fleet.now + (seconds * SECOND as f64) as Time;
-    for part in 1..=PARTS {
-        let name = lots_of(part, 1).remove(0);
+    for shard in 1..=BATCH_SHARDS {
+        let name = jobs_of(shard, 1).remove(0);
         while fleet.ask(gateway, submit(&name, 2), 3.5).map(|answer| answer.status) != Some(202) {
-            assert!(fleet.now < end, "seed {seed}: part {part} takes no job within {seconds} s");
+            assert!(fleet.now < end, "seed {seed}: part {shard} takes no job within {seconds} s");
             fleet.pass(0.2);
         }
         while fleet.ask(gateway, read(&name, 0), 3.5).map(|answer| answer.status) != Some(200) {
-            assert!(fleet.now < end, "seed {seed}: part {part} is not read within {seconds} s");
+            assert!(fleet.now < end, "seed {seed}: part {shard} is not read within {seconds} s");
             fleet.pass(0.2);
         }
     }
@@ -193,7 +193,7 @@
     let gateways = 2 * tolerate + 1;
     let mut fleet = Fleet::new(gateways, 0, stores_count, seed);
     fleet.tolerate = tolerate;
-    let mut chance = ChaCha8Rng::seed_from_u64(seed);
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
     fleet.start_all();
     let is_founding = |fleet: &Fleet| {
         stores(fleet).into_iter().any(|at| {
@@ -201,29 +201,29 @@
         })
     };
     assert!(fleet.until(15.0, is_founding), "seed {seed}: nothing is founded");
-    fleet.pass(chance.random_range(0.0..0.6));
+    fleet.pass(rng.random_range(0.0..0.6));
     let all = stores(&fleet);
-    let lost: Vec<usize> = all.choose_multiple(&mut chance, tolerate).copied().collect();
-    let with_disks = chance.random();
+    let lost: Vec<usize> = all.choose_multiple(&mut rng, tolerate).copied().collect();
+    let with_disks = rng.random();
     for at in &lost {
         if with_disks { fleet.wipe(*at) } else { fleet.kill(*at, true) }
     }
-    let pause = chance.random_range(0.0..8.0);
+    let pause = rng.random_range(0.0..8.0);
     fleet.pass(pause);
     lost.iter().for_each(|at| fleet.start(*at, false));
     fleet.pass(1.0);
     let answer = fleet.ask(0, Call::Configure { base: 0, text: common::configuration(5, "notary") }, 2.0);
     assert_eq!(answer.map(|answer| answer.status), Some(200), "seed {seed}");
-    all_parts_serve(&mut fleet, 0, seed, 15.0);
+    all_shards_serve(&mut fleet, 0, seed, 15.0);
     // All parts stand so that as many again may be lost.
     fleet.pass(8.0);
-    let lost: Vec<usize> = all.choose_multiple(&mut chance, tolerate).copied().collect();
+    let lost: Vec<usize> = all.choose_multiple(&mut rng, tolerate).copied().collect();
     lost.iter().for_each(|at| fleet.wipe(*at));
     let end = fleet.now + 10 * SECOND;
-    for part in 1..=PARTS {
-        let name = lots_of(part, 1).remove(0);
+    for shard in 1..=BATCH_SHARDS {
+        let name = jobs_of(shard, 1).remove(0);
         while fleet.ask(0, read(&name, 0), 3.5).map(|answer| answer.status) != Some(200) {
-            assert!(fleet.now < end, "seed {seed}: {name} of part {part} is not read after the second loss");
+            assert!(fleet.now < end, "seed {seed}: {name} of part {shard} is not read after the second loss");
             fleet.pass(0.2);
         }
     }
--- a/crates/coordinator/tests/cold_review_faults.rs
+++ b/crates/coordinator/tests/cold_review_faults.rs
@@ -2,16 +2,16 @@
 
 mod common;
 
-use common::{Fleet, MS, figure, lots_of, settle, settled, stores, submit};
+use common::{Fleet, MS, figure, jobs_of, settle, settled, stores, submit};
 use rainlug::SECOND;
-use rainlug_coordinator::{Call, PARTS, part_of, part_of_lot};
+use rainlug_coordinator::{BATCH_SHARDS, Call, shard_of_job, shard_of_route};
 
 fn read(id: &str) -> Call {
-    Call::Read { lot: id.to_owned(), since: 0, wait: 0 }
+    Call::Read { job: id.to_owned(), since: 0, wait: 0 }
 }
 
 /// The code of a snapshot's piece among records.
-const PIECE: u8 = 6;
+const CHUNK: u8 = 6;
 
 #[test]
 fn given_a_snapshot_that_cannot_be_restored_when_its_store_is_up_then_it_does_not_serve_with_another_state() {
@@ -20,7 +20,7 @@
         fleet.output_padding = 4_000;
         fleet.has_damaged_disks = true;
         settle(&mut fleet);
-        let names = lots_of(1, 12);
+        let names = jobs_of(1, 12);
         for name in &names {
             assert_eq!(fleet.ask(3, submit(name, 20), 3.5).map(|a| a.status), Some(202));
             fleet.pass(1.0);
@@ -34,9 +34,9 @@
         fleet.kill(odd, false);
         let disk = fleet.machines[odd].disk.as_mut().expect("a disk");
         let records = disk.synced.get_mut(&1).expect("records");
-        let pieces = records.iter_mut().filter(|record| record[0] == PIECE);
+        let chunks = records.iter_mut().filter(|record| record[0] == CHUNK);
         let mut damaged = 0;
-        for record in pieces.skip(2).take(1) {
+        for record in chunks.skip(2).take(1) {
             let mut bytes = record.to_vec();
             bytes[5..9].copy_from_slice(&[0xff; 4]);
             *record = bytes.into();
@@ -62,9 +62,9 @@
 }
 
 /// Members of a part's group, by the place of their machines.
-fn group(fleet: &Fleet, part: u16) -> Vec<usize> {
-    let Some(leader) = fleet.leader(part) else { return Vec::new() };
-    let members = fleet.machines[leader].coordinator.as_ref().expect("it runs").leads(part).2;
+fn group(fleet: &Fleet, shard: u16) -> Vec<usize> {
+    let Some(leader) = fleet.leader(shard) else { return Vec::new() };
+    let members = fleet.machines[leader].coordinator.as_ref().expect("it runs").leads(shard).2;
     let place = |at| fleet.machines.iter().position(|machine| machine.at == at);
     members.iter().filter_map(|member| place(member.at)).collect()
 }
@@ -85,12 +85,14 @@
             fleet.pass(0.02);
         }
         let of = |fleet: &Fleet, at: usize| {
-            (1..=PARTS).filter_map(|p| figure(fleet, at, &format!("part_{p}_bytes"))).sum::<f64>()
+            (1..=BATCH_SHARDS).filter_map(|p| figure(fleet, at, &format!("part_{p}_bytes"))).sum::<f64>()
         };
         let all = stores(&fleet);
         let odd = *all.iter().max_by(|x, y| of(&fleet, **x).total_cmp(&of(&fleet, **y))).expect("a store");
         let others: Vec<usize> = (0..fleet.machines.len()).filter(|at| *at != odd).collect();
-        let Some(part) = (1..=PARTS).find(|part| !group(&fleet, *part).contains(&odd)) else { continue };
+        let Some(shard) = (1..=BATCH_SHARDS).find(|shard| !group(&fleet, *shard).contains(&odd)) else {
+            continue;
+        };
         fleet.cut(&[odd], &others);
         fleet.pass(8.0);
         fleet.heal();
@@ -98,17 +100,17 @@
         fleet.pass(60.0);
         // Members of a part that it was never in go for good, until it has a seat there.
         for _ in 0..4 {
-            let members = group(&fleet, part);
+            let members = group(&fleet, shard);
             if members.contains(&odd) {
                 break;
             }
-            if let Some(gone) = members.iter().find(|at| fleet.leader(part) != Some(**at)) {
+            if let Some(gone) = members.iter().find(|at| fleet.leader(shard) != Some(**at)) {
                 fleet.kill(*gone, true);
             }
             fleet.pass(10.0);
         }
         for _ in 0..40 {
-            match fleet.leader(part) {
+            match fleet.leader(shard) {
                 Some(leader) if leader != odd => {
                     fleet.freeze(leader);
                     fleet.pass(1.0);
@@ -119,16 +121,16 @@
             }
             fleet.pass(0.5);
         }
-        if fleet.leader(part) != Some(odd) {
+        if fleet.leader(shard) != Some(odd) {
             continue;
         }
-        let name = lots_of(part, 500).pop().expect("a name");
-        assert_eq!(part_of_lot(&name), part);
+        let name = jobs_of(shard, 500).pop().expect("a name");
+        assert_eq!(shard_of_job(&name), shard);
         let taken = (0..60).find(|_| {
             fleet.pass(1.0);
             fleet.ask(3, submit(&name, 10), 0.6).is_some_and(|answer| answer.status == 202)
         });
-        if taken.is_none() && fleet.leader(part) == Some(odd) {
+        if taken.is_none() && fleet.leader(shard) == Some(odd) {
             starved.push(seed);
         }
     }
@@ -139,7 +141,7 @@
     let body = format!(
         r#"{{"requests":[{{"id":"{id}-0","path":"/l/0","headers":{{"X-Rainlug-Model":"m"}},"body":"q83vEjRWeJA=","token_count":{tokens}}}]}}"#
     );
-    Call::Submit { lot: id.to_owned(), route: "lots".to_owned(), body: body.into() }
+    Call::Submit { job: id.to_owned(), route: "lots".to_owned(), body: body.into() }
 }
 
 /// After how many seconds a job that fits is taken.
@@ -185,17 +187,19 @@
     for seed in 0..4 {
         let mut fleet = settled(3, 1, 5, 7_400 + seed);
         fleet.run_time = 5 * MS;
-        let part = (1..=PARTS)
-            .find(|p| *p != part_of("lots") && fleet.leader(*p) != fleet.leader(part_of("lots")))
+        let shard = (1..=BATCH_SHARDS)
+            .find(|p| {
+                *p != shard_of_route("lots") && fleet.leader(*p) != fleet.leader(shard_of_route("lots"))
+            })
             .expect("a part");
-        let names = lots_of(part, 4);
+        let names = jobs_of(shard, 4);
         assert_eq!(fleet.ask(0, big(&names[0], 1_000), 4.0).map(|a| a.status), Some(202));
         fleet.pass(0.03);
         let status = fleet.ask(0, big(&names[1], 80_000), 4.0).map(|a| a.status);
         fleet.pass(0.05);
         let read = fleet.ask(0, read(&names[1]), 1.0).expect("an answer");
         let is_done = String::from_utf8_lossy(&read.body).contains("complete");
-        let leader = fleet.leader(part).expect("a leader");
+        let leader = fleet.leader(shard).expect("a leader");
         fleet.kill(leader, true);
         fleet.pass(3.0);
         let (wait, refusals) = taken_after(&mut fleet, "fits", 60_000);
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use rainlug::{SECOND, Time};
 use rainlug_batch::RunEnd;
 use rainlug_coordinator::{
-    Answer, Call, Coordinator, Effect, KEEP_SLACK, NodeInfo, Now, founding_id, part_of_lot,
+    Answer, Call, Coordinator, Effect, KEEP_SLACK, NodeInfo, Now, founding_id, shard_of_job,
 };
 use rainlug_registry::{Worker, WorkerReport};
 use rand::{Rng, SeedableRng};
@@ -21,9 +21,9 @@
 enum Event {
     Datagram { to: usize, life: u32, from: SocketAddr, bytes: Bytes },
     Frame { to: usize, life: u32, from: SocketAddr, bytes: Bytes },
-    Saved { at: usize, life: u32, part: u16, ticket: u64 },
+    Saved { at: usize, life: u32, shard: u16, ticket: u64 },
     Wake { at: usize, life: u32 },
-    Ran { at: usize, life: u32, part: u16, lot: String, item: String, events: Vec<(u64, Bytes)> },
+    Ran { at: usize, life: u32, shard: u16, job: String, item: String, events: Vec<(u64, Bytes)> },
 }
 
 /// A disk: what is synced, and what is on its way.
@@ -74,7 +74,7 @@
     /// Until when each machine's link is busy with what it sends, and with what it takes.
     sending: BTreeMap<usize, Time>,
     taking: BTreeMap<usize, Time>,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     pub loss: f64,
     pub sync: Time,
     /// How long disks take that are not like the others.
@@ -136,7 +136,7 @@
             link: None,
             sending: BTreeMap::new(),
             taking: BTreeMap::new(),
-            chance: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             loss: 0.002,
             sync: 2 * MS,
             slow_disks: BTreeMap::new(),
@@ -205,7 +205,7 @@
     /// A process begins at a machine, with what its disk holds.
     pub fn start(&mut self, at: usize, first_boot: bool) {
         let seeds: Vec<SocketAddr> = (0..self.seeds).map(address).collect();
-        let (seed, now, drawn) = (self.chance.random(), self.time(at), self.chance.random::<u64>().max(1));
+        let (seed, now, drawn) = (self.rng.random(), self.time(at), self.rng.random::<u64>().max(1));
         let machine = &mut self.machines[at];
         assert!(machine.coordinator.is_none(), "{} runs", machine.name);
         let founds = first_boot && machine.gateway && seeds.contains(&machine.at);
@@ -214,7 +214,7 @@
             if disk.id == 0 {
                 disk.id = if founds { founding_id(machine.at) } else { drawn };
             }
-            logs = disk.synced.iter().map(|(part, records)| (*part, records.clone())).collect();
+            logs = disk.synced.iter().map(|(shard, records)| (*shard, records.clone())).collect();
         }
         let info = NodeInfo {
             node: machine.name.clone(),
@@ -226,13 +226,13 @@
             first_boot,
             seeds,
             tolerate: self.tolerate,
-            beat: 1200 * MS,
+            heartbeat: 1200 * MS,
             disk_bytes: self.disk_bytes,
             memory_bytes: self.memory_bytes,
             link_bytes_per_second: self.link_bytes_per_second,
             sync_time: self.sync_time,
             relays: true,
-            keep_lots: self.status_time + KEEP_SLACK,
+            job_retention: self.status_time + KEEP_SLACK,
             seed,
         };
         machine.coordinator = Some(Coordinator::new(info, logs, now).expect("its own records"));
@@ -255,9 +255,9 @@
         machine.life += 1;
         machine.wakes = Time::MAX;
         if let Some(disk) = &mut machine.disk {
-            for (part, writes) in std::mem::take(&mut disk.writing) {
+            for (shard, writes) in std::mem::take(&mut disk.writing) {
                 for (_, whole, records) in writes.into_iter().filter(|_| !power) {
-                    keep(&mut disk.synced, part, whole, records);
+                    keep(&mut disk.synced, shard, whole, records);
                 }
             }
         }
@@ -393,24 +393,24 @@
             Event::Frame { from, bytes, .. } => {
                 coordinator.frame(now, from, &bytes).expect("a frame of its own kind")
             }
-            Event::Saved { part, ticket, .. } => {
+            Event::Saved { shard, ticket, .. } => {
                 if let Some(disk) = &mut machine.disk {
-                    let writes = disk.writing.entry(part).or_default();
+                    let writes = disk.writing.entry(shard).or_default();
                     while writes.first().is_some_and(|w| w.0 <= ticket) {
                         let (_, whole, records) = writes.remove(0);
-                        keep(&mut disk.synced, part, whole, records);
+                        keep(&mut disk.synced, shard, whole, records);
                     }
                 }
-                let kept = machine.disk.as_ref().and_then(|disk| disk.synced.get(&part));
+                let kept = machine.disk.as_ref().and_then(|disk| disk.synced.get(&shard));
                 let length = kept.into_iter().flatten().map(|record| record.len() as u64).sum();
-                coordinator.saved(now, part, ticket, length);
+                coordinator.saved(now, shard, ticket, length);
             }
             Event::Wake { .. } => {
                 machine.wakes = Time::MAX;
                 coordinator.due(now);
             }
-            Event::Ran { part, lot, item, events, .. } => {
-                coordinator.ran(now, part, &lot, &item, events, RunEnd::Complete);
+            Event::Ran { shard, job, item, events, .. } => {
+                coordinator.ran(now, shard, &job, &item, events, RunEnd::Complete);
             }
         }
         if let (Some(cost), Some(before)) = (self.cost, allocated_before) {
@@ -446,7 +446,7 @@
                         continue;
                     };
                     *self.bytes_to.entry(to).or_default() += bytes.len() as u64;
-                    if self.chance.random::<f64>() >= self.loss {
+                    if self.rng.random::<f64>() >= self.loss {
                         let (delay, life) = (self.delay(), self.machines[to].life);
                         self.push(self.now + delay, Event::Datagram { to, life, from, bytes });
                     }
@@ -464,16 +464,16 @@
                     self.order.insert((at, to), due);
                     self.push(due, Event::Frame { to, life, from, bytes });
                 }
-                Effect::Save { part, ticket, records } => self.write(at, part, ticket, false, records),
+                Effect::Save { shard, ticket, records } => self.write(at, shard, ticket, false, records),
                 Effect::Renew { disk } => {
                     self.machines[at].disk = Some(Disk { id: disk, ..Disk::default() });
                 }
-                Effect::Rewrite { part, ticket, records, implied } => {
+                Effect::Rewrite { shard, ticket, records, implied } => {
                     // A disk may put off every rewrite whose first records only repeat what it holds.
-                    let is_put_off = implied > 0 && self.chance.random_bool(self.rewrites_put_off);
+                    let is_put_off = implied > 0 && self.rng.random_bool(self.rewrites_put_off);
                     let left_out = if is_put_off { implied } else { 0 };
                     let records = records.iter().skip(left_out).collect();
-                    self.write(at, part, ticket, !is_put_off, records);
+                    self.write(at, shard, ticket, !is_put_off, records);
                 }
                 Effect::Answer { ticket, answer } => {
                     self.answers.insert(ticket, (self.now, answer));
@@ -485,8 +485,8 @@
                 Effect::Worker(worker) => {
                     self.machines[at].workers.insert(worker.id.clone(), worker);
                 }
-                Effect::Run { part, next } => {
-                    self.runs.push((at, next.lot.clone(), next.item.id.clone()));
+                Effect::Run { shard, next } => {
+                    self.runs.push((at, next.job.clone(), next.item.id.clone()));
                     let first = next.last_event + 1;
                     let padding = self.event_bytes;
                     let event = |n: u64| (n, Bytes::from(format!("{} {n}{:padding$}", next.item.id, "")));
@@ -494,8 +494,8 @@
                     if self.output_padding > 0 {
                         events.push((4, self.noise(self.output_padding)));
                     }
-                    let (lot, item) = (next.lot.clone(), next.item.id.clone());
-                    self.push(self.now + self.run_time, Event::Ran { at, life, part, lot, item, events });
+                    let (job, item) = (next.job.clone(), next.item.id.clone());
+                    self.push(self.now + self.run_time, Event::Ran { at, life, shard, job, item, events });
                 }
                 Effect::Others(_) => {}
                 Effect::Reports(reports) => self.machines[at].reports.extend(reports),
@@ -513,18 +513,18 @@
         }
     }
 
-    fn write(&mut self, at: usize, part: u16, ticket: u64, whole: bool, records: Vec<Bytes>) {
+    fn write(&mut self, at: usize, shard: u16, ticket: u64, whole: bool, records: Vec<Bytes>) {
         let sync = self.slow_disks.get(&at).copied().unwrap_or(self.sync);
         let life = self.machines[at].life;
         if let Some(disk) = &mut self.machines[at].disk {
-            disk.writing.entry(part).or_default().push((ticket, whole, records));
+            disk.writing.entry(shard).or_default().push((ticket, whole, records));
         }
-        self.push(self.now + sync, Event::Saved { at, life, part, ticket });
+        self.push(self.now + sync, Event::Saved { at, life, shard, ticket });
     }
 
     /// So many letters, digits and signs that no compression makes much shorter.
     fn noise(&mut self, length: usize) -> Bytes {
-        (0..length).map(|_| self.chance.random_range(b'#'..b'\\')).collect()
+        (0..length).map(|_| self.rng.random_range(b'#'..b'\\')).collect()
     }
 
     /// How long a frame waits for the links of both machines and takes on them.
@@ -539,18 +539,18 @@
     }
 
     fn delay(&mut self) -> Time {
-        MS / 2 + (self.chance.random::<f64>() * MS as f64) as Time
+        MS / 2 + (self.rng.random::<f64>() * MS as f64) as Time
     }
 
     /// Who leads a part.
-    pub fn leader(&self, part: u16) -> Option<usize> {
-        let leads = |m: &Machine| !m.frozen && m.coordinator.as_ref().is_some_and(|o| o.leads(part).0);
+    pub fn leader(&self, shard: u16) -> Option<usize> {
+        let leads = |m: &Machine| !m.frozen && m.coordinator.as_ref().is_some_and(|o| o.leads(shard).0);
         self.machines.iter().position(leads)
     }
 }
 
-fn keep(synced: &mut BTreeMap<u16, Vec<Bytes>>, part: u16, whole: bool, records: Vec<Bytes>) {
-    let kept = synced.entry(part).or_default();
+fn keep(synced: &mut BTreeMap<u16, Vec<Bytes>>, shard: u16, whole: bool, records: Vec<Bytes>) {
+    let kept = synced.entry(shard).or_default();
     if whole {
         kept.clear();
     }
@@ -570,7 +570,7 @@
 }
 
 /// The body of a batch job of so many items.
-pub fn lot(name: &str, items: usize) -> Bytes {
+pub fn job(name: &str, items: usize) -> Bytes {
     let item = |n| {
         format!(
             r#"{{"id":"{name}-{n}","path":"/l/{n}","headers":{{"X-Rainlug-Model":"m"}},"body":"q83vEjRWeJA=","token_count":100}}"#
@@ -582,7 +582,7 @@
 
 /// A batch job of so many items, submitted on the route for batch jobs.
 pub fn submit(id: &str, items: usize) -> Call {
-    Call::Submit { lot: id.to_owned(), route: "lots".to_owned(), body: lot(id, items) }
+    Call::Submit { job: id.to_owned(), route: "lots".to_owned(), body: job(id, items) }
 }
 
 /// Where the stores are.
@@ -592,16 +592,16 @@
 
 /// A figure of the process at a machine.
 pub fn figure(fleet: &Fleet, at: usize, name: &str) -> Option<f64> {
-    let figures = fleet.machines[at].coordinator.as_ref()?.figures();
-    figures.into_iter().find(|(found, _)| found == name).map(|(_, value)| value)
+    let metrics = fleet.machines[at].coordinator.as_ref()?.metrics();
+    metrics.into_iter().find(|(found, _)| found == name).map(|(_, value)| value)
 }
 
-pub fn beat(id: &str, service: &str, state: &str, seq: u64) -> Call {
+pub fn heartbeat(id: &str, service: &str, state: &str, seq: u64) -> Call {
     let body = format!(
         r#"{{"service":"{service}","address":"10.9.0.1:80","zone":"zone-0","version":"v1","slots":8,"state":"{state}",
         "cold_left_ms":0,"call_seq":{seq}}}"#
     );
-    Call::Beat(Worker::read(id, body.as_bytes()).expect("a beat"))
+    Call::Heartbeat(Worker::read(id, body.as_bytes()).expect("a beat"))
 }
 
 /// A fleet that has founded its parts and has the first configuration, version 5, in force everywhere.
@@ -621,7 +621,7 @@
 }
 
 /// The first so many names of batch jobs that are in a part.
-pub fn lots_of(part: u16, count: usize) -> Vec<String> {
+pub fn jobs_of(shard: u16, count: usize) -> Vec<String> {
     let names = (0..).map(|nth| format!("job-{nth}"));
-    names.filter(|name| part_of_lot(name) == part).take(count).collect()
+    names.filter(|name| shard_of_job(name) == shard).take(count).collect()
 }
--- a/crates/coordinator/tests/halves.rs
+++ b/crates/coordinator/tests/halves.rs
@@ -1,6 +1,6 @@
 //! Machines cut into two sides: what a worker's end and a read of the configuration may be answered.
 mod common;
-use common::{beat, configuration, settled};
+use common::{configuration, heartbeat, settled};
 use rainlug_coordinator::Call;
 use rainlug_registry::Phase;
 
@@ -10,16 +10,16 @@
     for seed in 0..8 {
         for core in [3usize, 4] {
             let mut fleet = settled(core, 6, 0, 400 + seed);
-            fleet.ask(0, beat("w1", "notary", "ready", 1), 1.0);
-            fleet.ask(0, beat("w2", "notary", "ready", 1), 1.0);
+            fleet.ask(0, heartbeat("w1", "notary", "ready", 1), 1.0);
+            fleet.ask(0, heartbeat("w2", "notary", "ready", 1), 1.0);
             fleet.pass(1.0);
             let half: Vec<usize> = (0..core / 2).collect();
             let rest: Vec<usize> = (core / 2..core).collect();
             fleet.cut(&half, &rest);
             fleet.pass(4.0);
             for (call, id, phase) in [
-                (beat("w1", "notary", "draining", 2), "w1", Phase::Draining),
-                (Call::Goodbye("w2".into()), "w2", Phase::Gone),
+                (heartbeat("w1", "notary", "draining", 2), "w1", Phase::Draining),
+                (Call::Deregister("w2".into()), "w2", Phase::Gone),
             ] {
                 let got = fleet.ask(0, call, 1.0).map(|a| a.status);
                 if got == Some(200) {
@@ -40,11 +40,11 @@
     for seed in 0..8 {
         for wait in [0.1, 0.5, 1.0, 4.0] {
             let mut fleet = settled(3, 3, 0, 500 + seed);
-            fleet.ask(0, beat("w1", "notary", "ready", 1), 1.0);
+            fleet.ask(0, heartbeat("w1", "notary", "ready", 1), 1.0);
             fleet.pass(1.0);
             fleet.cut(&[0, 3], &[1, 2, 4, 5]);
             fleet.pass(wait);
-            let got = fleet.ask(0, beat("w1", "notary", "draining", 2), 1.0).map(|a| a.status);
+            let got = fleet.ask(0, heartbeat("w1", "notary", "draining", 2), 1.0).map(|a| a.status);
             let all = fleet.until(2.0, |f| {
                 f.machines.iter().all(|m| m.workers.get("w1").is_some_and(|w| w.phase >= Phase::Draining))
             });
--- a/crates/coordinator/tests/long_day.rs
+++ b/crates/coordinator/tests/long_day.rs
@@ -6,7 +6,7 @@
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 
-use common::{Cost, Fleet, lot, settle, stores};
+use common::{Cost, Fleet, job, settle, stores};
 use rainlug_coordinator::Call;
 
 /// Counts the bytes that a thread allocates.
@@ -55,25 +55,25 @@
 /// All that was accepted can be read again this long after the machines are back, in seconds.
 const RECOVERY: f64 = 15.0;
 
-fn job(number: usize) -> String {
+fn job_id(number: usize) -> String {
     format!("job-{number}")
 }
 
 fn submit(fleet: &mut Fleet, at: usize, number: usize) {
     for _ in 0..50 {
         let call =
-            Call::Submit { lot: job(number), route: "lots".to_owned(), body: lot(&job(number), ITEMS) };
+            Call::Submit { job: job_id(number), route: "lots".to_owned(), body: job(&job_id(number), ITEMS) };
         if fleet.ask(at, call, 3.5).is_some_and(|answer| answer.status == 202) {
             return;
         }
         fleet.pass(0.2);
     }
-    panic!("{} is not accepted", job(number));
+    panic!("{} is not accepted", job_id(number));
 }
 
 /// Whether all items of a batch job are listed and can be read.
 fn is_whole(fleet: &mut Fleet, at: usize, number: usize) -> bool {
-    let call = Call::Read { lot: job(number), since: 0, wait: 0 };
+    let call = Call::Read { job: job_id(number), since: 0, wait: 0 };
     let answer = fleet.ask(at, call, 3.5);
     let whole = format!("\"next_token\":{ITEMS}");
     answer
@@ -121,7 +121,7 @@
             assert!(
                 fleet.now < end,
                 "seed {seed}: {} cannot be read {seconds} s after the loss",
-                job(number)
+                job_id(number)
             );
             fleet.pass(0.1);
         }
--- a/crates/coordinator/tests/losses.rs
+++ b/crates/coordinator/tests/losses.rs
@@ -3,14 +3,14 @@
 mod common;
 
 use common::{Fleet, configuration, settled, submit};
-use rainlug_coordinator::{Answer, Call, PARTS};
+use rainlug_coordinator::{Answer, BATCH_SHARDS, Call};
 
 const MS: i64 = 1_000;
 /// After a machine is back with an empty disk, this long passes before another loss.
 const BETWEEN_LOSSES: f64 = 5.0;
 
 fn read(id: &str) -> Call {
-    Call::Read { lot: id.to_owned(), since: 0, wait: 0 }
+    Call::Read { job: id.to_owned(), since: 0, wait: 0 }
 }
 
 fn status(answer: Option<Answer>) -> Option<u16> {
@@ -176,8 +176,8 @@
     fleet.start(5, false);
     assert!(is_retired(&mut fleet, 0, &name, 10.0));
     fleet.pass(10.0);
-    let seats = |part| fleet.machines[0].coordinator.as_ref().map(|c| c.leads(part).2).unwrap_or_default();
-    assert!((1..=PARTS).all(|part| seats(part).iter().all(|m| m.name != name)));
+    let seats = |shard| fleet.machines[0].coordinator.as_ref().map(|c| c.leads(shard).2).unwrap_or_default();
+    assert!((1..=BATCH_SHARDS).all(|shard| seats(shard).iter().all(|m| m.name != name)));
 }
 
 #[test]
--- a/crates/coordinator/tests/operators/batch_stories.rs
+++ b/crates/coordinator/tests/operators/batch_stories.rs
@@ -1,19 +1,19 @@
 //! Named stories of batch jobs that are submitted and ended more than once while machines are cut off.
 
-use rainlug_coordinator::{Call, part_of_lot};
+use rainlug_coordinator::{Call, shard_of_job};
 
-use crate::common::{Fleet, lot, settled};
+use crate::common::{Fleet, job, settled};
 
 /// Core and plain machines come first.
 const FIRST_STORE: usize = 4;
 const CUT: f64 = 20.0;
 
 fn submit(id: &str) -> Call {
-    Call::Submit { lot: id.to_owned(), route: "lots".to_owned(), body: lot(id, 5) }
+    Call::Submit { job: id.to_owned(), route: "lots".to_owned(), body: job(id, 5) }
 }
 
 fn end(id: &str) -> Call {
-    Call::End { lot: id.to_owned() }
+    Call::End { job: id.to_owned() }
 }
 
 fn status(fleet: &mut Fleet, at: usize, call: Call) -> Option<u16> {
@@ -33,7 +33,7 @@
 }
 
 fn leader(fleet: &Fleet) -> usize {
-    fleet.leader(part_of_lot("job")).expect("a leader")
+    fleet.leader(shard_of_job("job")).expect("a leader")
 }
 
 fn cut_off(fleet: &mut Fleet, at: usize) {
@@ -58,7 +58,7 @@
         assert!(!refused, "seed {seed}");
         assert_eq!(status(&mut fleet, 2, submit("job")), Some(202), "seed {seed}: sent again");
         let answer =
-            fleet.ask(3, Call::Read { lot: "job".to_owned(), since: 0, wait: 0 }, 4.0).expect("an answer");
+            fleet.ask(3, Call::Read { job: "job".to_owned(), since: 0, wait: 0 }, 4.0).expect("an answer");
         let text = String::from_utf8_lossy(&answer.body).into_owned();
         assert!(text.contains("\"grand_total\":5") && text.contains("\"next_token\":5"), "{text}");
     }
@@ -89,7 +89,7 @@
     assert_eq!(status(&mut fleet, 0, submit("known")), Some(202));
     cut_off(&mut fleet, 3);
     fleet.pass(2.0);
-    let read = Call::Read { lot: "known".to_owned(), since: 0, wait: 0 };
+    let read = Call::Read { job: "known".to_owned(), since: 0, wait: 0 };
     for call in [submit("job"), submit("known"), end("known"), end("no-such"), read] {
         let since = fleet.now;
         let answered = status(&mut fleet, 3, call.clone()).expect("an answer");
