--- a/crates/coordinator/tests/operators/errands.rs
+++ b/crates/coordinator/tests/operators/errands.rs
@@ -8,7 +8,7 @@
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
 
-use crate::common::{Fleet, MS, beat, lot};
+use crate::common::{Fleet, MS, heartbeat, job};
 use crate::history::CALLER_PATIENCE;
 
 const ITEMS: usize = 3;
@@ -20,8 +20,8 @@
     Submit,
     Read,
     End,
-    Beat,
-    Goodbye,
+    Heartbeat,
+    Deregister,
 }
 
 /// One batch job and one worker, and how far each has come.
@@ -70,14 +70,14 @@
     fn call(&mut self, step: Step) -> Call {
         let name = self.name.clone();
         match step {
-            Step::Submit => Call::Submit { body: lot(&name, ITEMS), lot: name, route: "lots".to_owned() },
-            Step::Read => Call::Read { lot: name, since: 0, wait: 0 },
-            Step::End => Call::End { lot: name },
-            Step::Beat => {
+            Step::Submit => Call::Submit { body: job(&name, ITEMS), job: name, route: "lots".to_owned() },
+            Step::Read => Call::Read { job: name, since: 0, wait: 0 },
+            Step::End => Call::End { job: name },
+            Step::Heartbeat => {
                 self.call_seq += 1;
-                beat(&self.worker(), "notary", "ready", self.call_seq)
+                heartbeat(&self.worker(), "notary", "ready", self.call_seq)
             }
-            Step::Goodbye => Call::Goodbye(self.worker()),
+            Step::Deregister => Call::Deregister(self.worker()),
         }
     }
 
@@ -87,7 +87,7 @@
             _ if status >= 500 => true,
             Step::Submit => status == 202,
             Step::Read | Step::End => status == 200 || (status == 404 && !self.submitted),
-            Step::Beat | Step::Goodbye => status == 200,
+            Step::Heartbeat | Step::Deregister => status == 200,
         }
     }
 
@@ -95,20 +95,20 @@
         match step {
             Step::Submit => self.submitted = true,
             Step::End => self.ended = true,
-            Step::Goodbye => self.gone = true,
-            Step::Read | Step::Beat => {}
+            Step::Deregister => self.gone = true,
+            Step::Read | Step::Heartbeat => {}
         }
     }
 
     /// What comes after an acknowledged call.
-    fn next(&self, chance: &mut ChaCha8Rng) -> Step {
+    fn next(&self, rng: &mut ChaCha8Rng) -> Step {
         let steps = match (self.submitted, self.gone) {
-            (false, _) => [Step::Submit, Step::Beat, Step::Beat],
-            (true, false) => [Step::Read, Step::Beat, Step::Goodbye],
+            (false, _) => [Step::Submit, Step::Heartbeat, Step::Heartbeat],
+            (true, false) => [Step::Read, Step::Heartbeat, Step::Deregister],
             // Also a late beat.
-            (true, true) => [Step::Submit, Step::End, Step::Beat],
+            (true, true) => [Step::Submit, Step::End, Step::Heartbeat],
         };
-        *steps.choose(chance).unwrap_or(&Step::Read)
+        *steps.choose(rng).unwrap_or(&Step::Read)
     }
 }
 
@@ -118,7 +118,7 @@
     }
 
     /// Takes answers and makes the next calls at machines that run.
-    pub fn step(&mut self, fleet: &mut Fleet, running: &[usize], chance: &mut ChaCha8Rng) {
+    pub fn step(&mut self, fleet: &mut Fleet, running: &[usize], rng: &mut ChaCha8Rng) {
         for caller in &mut self.callers {
             if let Some((ticket, step, invoked)) = caller.pending {
                 let answer = fleet.answers.get(&ticket).map(|(_, answer)| answer.status);
@@ -126,7 +126,7 @@
                     continue;
                 }
                 caller.pending = None;
-                caller.resume = fleet.now + chance.random_range(0..PAUSE);
+                caller.resume = fleet.now + rng.random_range(0..PAUSE);
                 let status = answer.unwrap_or(0);
                 if status > 0 && !caller.may(step, status) {
                     let name = caller.name.clone();
@@ -134,11 +134,11 @@
                 }
                 if (200..300).contains(&status) {
                     caller.acknowledged(step);
-                    caller.step = caller.next(chance);
+                    caller.step = caller.next(rng);
                 }
             }
             if caller.resume <= fleet.now
-                && let Some(at) = running.choose(chance)
+                && let Some(at) = running.choose(rng)
             {
                 let step = caller.step;
                 let call = caller.call(step);
@@ -172,8 +172,8 @@
             Step::Submit => "submit",
             Step::Read => "read",
             Step::End => "end",
-            Step::Beat => "beat",
-            Step::Goodbye => "goodbye",
+            Step::Heartbeat => "beat",
+            Step::Deregister => "goodbye",
         }
     }
 }
--- a/crates/coordinator/tests/operators/operator.rs
+++ b/crates/coordinator/tests/operators/operator.rs
@@ -91,7 +91,7 @@
     known_in_force: BTreeSet<OrderId>,
     /// Machines that cannot exchange messages with a majority of the core, and since when.
     without_quorum: BTreeMap<usize, Time>,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     /// Statuses that no page names for a call.
     pub unexpected: Vec<(u16, &'static str)>,
 }
@@ -123,7 +123,7 @@
             seen_in_force: 0,
             known_in_force: BTreeSet::new(),
             without_quorum: BTreeMap::new(),
-            chance: ChaCha8Rng::seed_from_u64(seed ^ 0x6f70_6572),
+            rng: ChaCha8Rng::seed_from_u64(seed ^ 0x6f70_6572),
             unexpected: Vec::new(),
         };
         campaign.put_until_taken(0);
@@ -212,7 +212,7 @@
     /// A configuration that no version makes valid.
     fn malformed(&mut self) -> Call {
         let whole = String::from_utf8_lossy(&text(1_000_000, "any", 0)).into_owned();
-        let broken = match self.chance.random_range(0..3) {
+        let broken = match self.rng.random_range(0..3) {
             0 => whole[..whole.len() / 2].to_owned(),
             1 => whole.replace("\"timeout_ms\":4000", "\"timeout_ms\":0"),
             _ => whole.replacen("\"service\":\"any\"", "\"service\":\"none\"", 1),
@@ -268,7 +268,7 @@
     fn run_errands(&mut self) {
         let running = self.running();
         if let Some(errands) = &mut self.errands {
-            errands.step(&mut self.fleet, &running, &mut self.chance);
+            errands.step(&mut self.fleet, &running, &mut self.rng);
         }
     }
 
@@ -281,7 +281,7 @@
                 return;
             }
             let clear = self.conclude(&pending);
-            let lost = self.chance.random::<f64>() < self.habits.lost_answers;
+            let lost = self.rng.random::<f64>() < self.habits.lost_answers;
             if lost {
                 self.lose(pending.operation);
             }
@@ -307,7 +307,7 @@
         let response = self.history[pending.operation].response;
         let operator = &mut self.operators[at];
         let most = if clear { self.habits.pause } else { 100 * MS };
-        operator.resume = self.fleet.now + self.chance.random_range(0..=most);
+        operator.resume = self.fleet.now + self.rng.random_range(0..=most);
         if !clear {
             operator.tries += 1;
             operator.plan = Some(if operator.tries < MOST_TRIES { pending.plan } else { Plan::Get });
@@ -335,27 +335,27 @@
             None => self.next_plan(at),
         };
         let running = self.running();
-        let Some(machine) = running.choose(&mut self.chance).copied() else { return };
+        let Some(machine) = running.choose(&mut self.rng).copied() else { return };
         let pending = self.invoke(machine, plan);
         self.operators[at].pending = Some(pending);
     }
 
     fn next_plan(&mut self, at: usize) -> Plan {
         let known = self.operators[at].known;
-        match self.chance.random_range(0..20) {
+        match self.rng.random_range(0..20) {
             0 => Plan::PutMalformed,
             // Not above what is current.
             1 => {
-                let lower = known.saturating_sub(self.chance.random_range(0..3)).max(1);
+                let lower = known.saturating_sub(self.rng.random_range(0..3)).max(1);
                 Plan::Put(self.order(known, lower))
             }
             // On a base that nobody has made yet.
             2 => Plan::Put(self.order(known + 1, known + 3)),
-            3..6 => self.taken.choose(&mut self.chance).map_or(Plan::Get, |order| Plan::Put(*order)),
+            3..6 => self.taken.choose(&mut self.rng).map_or(Plan::Get, |order| Plan::Put(*order)),
             6..10 => Plan::Get,
             // Uneven steps; others on the same base often pick the same number.
             _ => {
-                let version = known + self.chance.random_range(1..4);
+                let version = known + self.rng.random_range(1..4);
                 Plan::Put(self.order(known, version))
             }
         }
@@ -454,6 +454,6 @@
     }
 
     pub fn draw(&mut self, most: usize) -> usize {
-        self.chance.random_range(0..most)
+        self.rng.random_range(0..most)
     }
 }
--- a/crates/coordinator/tests/operators/stories.rs
+++ b/crates/coordinator/tests/operators/stories.rs
@@ -2,9 +2,9 @@
 
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
-use rainlug_coordinator::{CONTROL, Call, Now, PARTS};
+use rainlug_coordinator::{BATCH_SHARDS, CONTROL, Call, Now};
 
-use crate::common::{Fleet, MS, address, beat};
+use crate::common::{Fleet, MS, address, heartbeat};
 use crate::history::Response;
 use crate::operator::{Campaign, Habits};
 use crate::trouble::{Trouble, VICTIMS, befall, core, cut, pick};
@@ -39,12 +39,12 @@
 
 /// How many groups of batch jobs count on a machine, as their leaders know.
 fn seats_of(fleet: &Fleet, store: usize) -> usize {
-    let holds = |part: u16| {
-        let leader = fleet.leader(part).expect("a leader");
+    let holds = |shard: u16| {
+        let leader = fleet.leader(shard).expect("a leader");
         let coordinator = fleet.machines[leader].coordinator.as_ref().expect("it runs");
-        coordinator.leads(part).2.iter().any(|member| member.at == address(store))
+        coordinator.leads(shard).2.iter().any(|member| member.at == address(store))
     };
-    (1..=PARTS).filter(|part| holds(*part)).count()
+    (1..=BATCH_SHARDS).filter(|shard| holds(*shard)).count()
 }
 
 fn ready(campaign: &Campaign, at: usize) -> bool {
@@ -339,7 +339,7 @@
     for (nth, wait) in [1.5, 3.0, 30.0].into_iter().enumerate() {
         campaign.fleet.pass(wait);
         assert!(ready(&campaign, 0), "after {wait} s");
-        let told = beat("w1", "notary", "ready", 1 + nth as u64);
+        let told = heartbeat("w1", "notary", "ready", 1 + nth as u64);
         assert_eq!(campaign.fleet.ask(0, told, 1.0).map(|a| a.status), Some(200));
         let base = 5 + 2 * nth as u64;
         let order = campaign.order(base, base + 2);
--- a/crates/coordinator/tests/operators/trouble.rs
+++ b/crates/coordinator/tests/operators/trouble.rs
@@ -1,6 +1,6 @@
 //! What befalls a fleet's machines while operators work: cuts of every kind, stops and losses, never more at once than is tolerated.
 
-use rainlug_coordinator::{CONTROL, part_of_lot};
+use rainlug_coordinator::{CONTROL, shard_of_job};
 
 use crate::common::Fleet;
 use crate::operator::Campaign;
@@ -76,7 +76,7 @@
     match victim {
         Victim::Leader => leader,
         Victim::Oldest => core[0],
-        Victim::StoreLeader => fleet.leader(part_of_lot("job0")).unwrap_or(core[0]),
+        Victim::StoreLeader => fleet.leader(shard_of_job("job0")).unwrap_or(core[0]),
         Victim::Follower => core.into_iter().rfind(|at| *at != leader).unwrap_or(leader),
     }
 }
--- a/crates/coordinator/tests/operators/worker_stories.rs
+++ b/crates/coordinator/tests/operators/worker_stories.rs
@@ -4,7 +4,7 @@
 use rainlug_coordinator::Call;
 use rainlug_registry::Phase;
 
-use crate::common::{Fleet, MS, address, beat, settled};
+use crate::common::{Fleet, MS, address, heartbeat, settled};
 
 const CUT: f64 = 20.0;
 const BEAT: f64 = 1.2;
@@ -17,8 +17,8 @@
     fleet.machines.iter().map(|machine| machine.workers.get(id).map(|worker| worker.phase)).collect()
 }
 
-fn goodbye(id: &str) -> Call {
-    Call::Goodbye(id.to_owned())
+fn deregister(id: &str) -> Call {
+    Call::Deregister(id.to_owned())
 }
 
 /// A worker that beats where it is told to, until a beat fails there.
@@ -28,12 +28,12 @@
 }
 
 impl Beating {
-    fn beat(&mut self, fleet: &mut Fleet, state: &str) -> u16 {
+    fn heartbeat(&mut self, fleet: &mut Fleet, state: &str) -> u16 {
         let since = fleet.now;
         let mut status = 0;
         for _ in 0..4 {
             self.call_seq += 1;
-            let answer = fleet.ask(self.machine, beat("w1", "notary", state, self.call_seq), 1.0);
+            let answer = fleet.ask(self.machine, heartbeat("w1", "notary", state, self.call_seq), 1.0);
             status = answer.as_ref().map_or(0, |answer| answer.status);
             if status == 200 {
                 let body = answer.map(|answer| answer.body).unwrap_or_default();
@@ -58,11 +58,11 @@
     let mut fleet = settled(3, 3, 0, 1);
     let rest = others(&fleet, 4);
     fleet.cut(&[4], &rest);
-    assert_eq!(fleet.ask(0, beat("w1", "notary", "ready", 7), 1.0).map(|a| a.status), Some(200));
+    assert_eq!(fleet.ask(0, heartbeat("w1", "notary", "ready", 7), 1.0).map(|a| a.status), Some(200));
     fleet.pass(0.5);
     fleet.heal();
     assert_eq!(fleet.machines[4].workers.get("w1"), None, "it has not heard of it");
-    assert_eq!(fleet.ask(4, goodbye("w1"), 1.0).map(|a| a.status), Some(200));
+    assert_eq!(fleet.ask(4, deregister("w1"), 1.0).map(|a| a.status), Some(200));
     for at in rest {
         assert_eq!(fleet.machines[at].workers["w1"].phase, Phase::Gone, "machine {at}");
         assert_eq!(fleet.machines[at].workers["w1"].service, "notary", "machine {at}");
@@ -72,28 +72,30 @@
 #[test]
 fn given_a_worker_that_said_goodbye_when_beats_come_late_or_it_says_so_again_then_it_stays_gone() {
     let mut fleet = settled(3, 3, 0, 2);
-    fleet.ask(0, beat("w1", "notary", "ready", 7), 1.0);
+    fleet.ask(0, heartbeat("w1", "notary", "ready", 7), 1.0);
     fleet.pass(0.5);
-    assert_eq!(fleet.ask(1, goodbye("w1"), 1.0).map(|a| a.status), Some(200));
+    assert_eq!(fleet.ask(1, deregister("w1"), 1.0).map(|a| a.status), Some(200));
     assert!(phases(&fleet, "w1").iter().all(|phase| *phase == Some(Phase::Gone)), "before the answer");
     for (at, seq) in [(2, 6), (3, 5), (4, 9), (0, 7)] {
-        assert_eq!(fleet.ask(at, beat("w1", "notary", "ready", seq), 1.0).map(|a| a.status), Some(200));
+        assert_eq!(fleet.ask(at, heartbeat("w1", "notary", "ready", seq), 1.0).map(|a| a.status), Some(200));
         fleet.pass(3.0);
         assert!(phases(&fleet, "w1").iter().all(|phase| *phase == Some(Phase::Gone)), "beat {seq}");
     }
-    assert_eq!(fleet.ask(5, goodbye("w1"), 1.0).map(|a| a.status), Some(200));
+    assert_eq!(fleet.ask(5, deregister("w1"), 1.0).map(|a| a.status), Some(200));
 }
 
 #[test]
 fn given_a_machine_cut_off_when_workers_call_it_then_they_are_sent_on_and_their_word_is_kept() {
     let mut fleet = settled(3, 3, 0, 3);
-    fleet.ask(0, beat("w1", "notary", "ready", 1), 1.0);
-    fleet.ask(0, beat("w2", "notary", "ready", 1), 1.0);
+    fleet.ask(0, heartbeat("w1", "notary", "ready", 1), 1.0);
+    fleet.ask(0, heartbeat("w2", "notary", "ready", 1), 1.0);
     fleet.pass(1.0);
     let rest = others(&fleet, 2);
     fleet.cut(&[2], &rest);
     fleet.pass(2.0);
-    for call in [beat("w1", "notary", "draining", 2), goodbye("w2"), beat("w3", "notary", "ready", 1)] {
+    for call in
+        [heartbeat("w1", "notary", "draining", 2), deregister("w2"), heartbeat("w3", "notary", "ready", 1)]
+    {
         let since = fleet.now;
         assert_eq!(fleet.ask(2, call, 1.0).map(|a| a.status), Some(503));
         assert!(fleet.now - since < 50 * MS);
@@ -108,13 +110,13 @@
 #[test]
 fn given_a_machine_that_nobody_hears_when_a_worker_says_that_it_leaves_then_it_is_sent_on() {
     let mut fleet = settled(3, 3, 0, 4);
-    fleet.ask(0, beat("w1", "notary", "ready", 1), 1.0);
-    fleet.ask(0, beat("w2", "notary", "ready", 1), 1.0);
+    fleet.ask(0, heartbeat("w1", "notary", "ready", 1), 1.0);
+    fleet.ask(0, heartbeat("w2", "notary", "ready", 1), 1.0);
     fleet.pass(1.0);
     let rest = others(&fleet, 4);
     fleet.cut_one_way(&[4], &rest);
     fleet.pass(5.0);
-    for call in [beat("w1", "notary", "draining", 2), goodbye("w2")] {
+    for call in [heartbeat("w1", "notary", "draining", 2), deregister("w2")] {
         let since = fleet.now;
         assert_eq!(fleet.ask(4, call.clone(), 1.0).map(|a| a.status), Some(503));
         assert!(fleet.now - since <= 300 * MS);
@@ -133,18 +135,18 @@
         let mut fleet = settled(3, 2, 0, 10 + seed);
         let mut worker = Beating { machine: 0, call_seq: 0 };
         (0..3).for_each(|_| {
-            worker.beat(&mut fleet, "ready");
+            worker.heartbeat(&mut fleet, "ready");
         });
         let at = worker.machine;
         let rest = others(&fleet, at);
         fleet.cut(&[at], &rest);
         let end = fleet.now + (CUT * SECOND as f64) as Time;
         while fleet.now < end {
-            assert_eq!(worker.beat(&mut fleet, "ready"), 200, "seed {seed}");
+            assert_eq!(worker.heartbeat(&mut fleet, "ready"), 200, "seed {seed}");
         }
         fleet.heal();
         (0..4).for_each(|_| {
-            worker.beat(&mut fleet, "ready");
+            worker.heartbeat(&mut fleet, "ready");
         });
         for at in 0..fleet.machines.len() {
             let silent = fleet.machines[at].log.iter().filter(|line| line.contains("silent: w1")).count();
@@ -160,14 +162,14 @@
         let mut fleet = settled(3, 2, 0, 30 + seed);
         let mut worker = Beating { machine: 0, call_seq: 0 };
         (0..3).for_each(|_| {
-            worker.beat(&mut fleet, "ready");
+            worker.heartbeat(&mut fleet, "ready");
         });
         let at = worker.machine;
         let core: Vec<usize> = (0..3).filter(|other| *other != at).collect();
         fleet.cut(&[at], &core);
         let end = fleet.now + (CUT * SECOND as f64) as Time;
         while fleet.now < end {
-            assert_eq!(worker.beat(&mut fleet, "ready"), 200, "seed {seed}");
+            assert_eq!(worker.heartbeat(&mut fleet, "ready"), 200, "seed {seed}");
         }
         fleet.heal();
         fleet.pass(2.0);
--- a/crates/coordinator/tests/promises.rs
+++ b/crates/coordinator/tests/promises.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeSet;
 
 use bytes::Bytes;
-use common::{Fleet, MS, lots_of, settled, submit};
-use rainlug_coordinator::{Call, PARTS, part_of};
+use common::{Fleet, MS, jobs_of, settled, submit};
+use rainlug_coordinator::{BATCH_SHARDS, Call, shard_of_route};
 
 #[test]
 fn given_a_submission_that_waits_for_slow_disks_when_the_route_fills_meanwhile_then_it_is_not_refused_and_run()
@@ -28,7 +28,7 @@
         fleet.sync = 2 * MS;
         fleet.run_time = 100 * MS;
         fleet.pass(20.0);
-        let ran = fleet.runs.iter().any(|(_, lot, _)| lot == "late");
+        let ran = fleet.runs.iter().any(|(_, job, _)| job == "late");
         let status = answer.map(|a| a.status);
         refused += usize::from(status.is_some_and(|status| [429, 503].contains(&status)));
         assert!(!ran || status.is_none_or(|status| ![429, 503].contains(&status)), "{offset}: {status:?}");
@@ -37,9 +37,9 @@
 }
 
 /// Members of a part's group, its leader first, by the place of their machines.
-fn group(fleet: &Fleet, part: u16) -> Vec<usize> {
-    let leader = fleet.leader(part).expect("a leader");
-    let members = fleet.machines[leader].coordinator.as_ref().expect("it runs").leads(part).2;
+fn group(fleet: &Fleet, shard: u16) -> Vec<usize> {
+    let leader = fleet.leader(shard).expect("a leader");
+    let members = fleet.machines[leader].coordinator.as_ref().expect("it runs").leads(shard).2;
     let place = |at| fleet.machines.iter().position(|machine| machine.at == at);
     let others = members.iter().filter_map(|member| place(member.at)).filter(|at| *at != leader);
     [leader].into_iter().chain(others).collect()
@@ -51,23 +51,24 @@
     let mut unclear = 0;
     for offset in 0..24 {
         let mut fleet = settled(3, 1, 9, 92 + offset % 3);
-        let ledger = part_of("lots");
-        let counts = fleet.leader(ledger).expect("a leader");
+        let quota_ledger = shard_of_route("lots");
+        let counts = fleet.leader(quota_ledger).expect("a leader");
         // Given a part whose group decides without its leader and without two members of the ledger's group.
-        let losses = |part: u16| -> Vec<usize> {
-            let rest = &group(&fleet, part)[1..];
-            group(&fleet, ledger).into_iter().filter(|at| !rest.contains(at)).take(2).collect()
+        let losses = |shard: u16| -> Vec<usize> {
+            let rest = &group(&fleet, shard)[1..];
+            group(&fleet, quota_ledger).into_iter().filter(|at| !rest.contains(at)).take(2).collect()
         };
-        let serves =
-            |part: &u16| *part != ledger && losses(*part).len() == 2 && fleet.leader(*part) != Some(counts);
-        let part = (1..=PARTS).find(serves).expect("such a part");
-        let (name, lost, leader) = (lots_of(part, 1).remove(0), losses(part), group(&fleet, part)[0]);
+        let serves = |shard: &u16| {
+            *shard != quota_ledger && losses(*shard).len() == 2 && fleet.leader(*shard) != Some(counts)
+        };
+        let shard = (1..=BATCH_SHARDS).find(serves).expect("such a part");
+        let (name, lost, leader) = (jobs_of(shard, 1).remove(0), losses(shard), group(&fleet, shard)[0]);
         // When its leader is killed about when it has proposed a job, and the ledger's group decides nothing from then on.
         let ticket = fleet.call(3, submit(&name, 100));
-        let figure = format!("part_{ledger}_tokens_counted");
+        let figure = format!("part_{quota_ledger}_tokens_counted");
         let is_reserved = |fleet: &Fleet| {
-            let figures = fleet.machines[counts].coordinator.as_ref().expect("it runs").figures();
-            figures.iter().any(|(found, value)| *found == figure && *value > 0.0)
+            let metrics = fleet.machines[counts].coordinator.as_ref().expect("it runs").metrics();
+            metrics.iter().any(|(found, value)| *found == figure && *value > 0.0)
         };
         assert!(fleet.until(1.0, is_reserved), "{offset}");
         fleet.pass(0.000_3 * offset as f64);
@@ -78,7 +79,7 @@
         unclear += usize::from(status == 504);
         killed.iter().for_each(|at| fleet.start(*at, false));
         fleet.pass(5.0);
-        let ran = fleet.runs.iter().any(|(_, lot, _)| *lot == name);
+        let ran = fleet.runs.iter().any(|(_, job, _)| *job == name);
         assert!(status == 504 || ran == (status == 202), "{offset}: {status}");
         assert!(![429, 503].contains(&status), "{offset}: nobody knows that it does not run");
     }
@@ -86,7 +87,7 @@
 }
 
 /// The body of a batch job of 100 items of a kilobyte and more.
-fn long_lot(name: &str) -> Bytes {
+fn long_job(name: &str) -> Bytes {
     let body = "q83vEjRW".repeat(150);
     let item = |n| {
         format!(r#"{{"id":"{name}-{n}","path":"/l/{n}","headers":{{}},"body":"{body}","token_count":1}}"#)
@@ -98,9 +99,9 @@
 #[test]
 fn given_a_part_without_a_leader_when_a_long_job_is_submitted_then_its_bytes_go_only_to_a_leader() {
     let mut fleet = settled(3, 1, 3, 91);
-    let [ref first, ref long] = lots_of(2, 2)[..] else { panic!("two names") };
+    let [ref first, ref long] = jobs_of(2, 2)[..] else { panic!("two names") };
     // Far more than all the groups say of their elections.
-    let request = long_lot(long);
+    let request = long_job(long);
     let body = request.len() as u64;
     assert!(body > 100_000);
     // Given that a job was accepted, so that the leader is known, and then two of three stores are without power.
@@ -109,7 +110,7 @@
     stores[1..].iter().for_each(|at| fleet.kill(*at, true));
     fleet.pass(2.0);
     let before = fleet.bytes;
-    let ticket = fleet.call(3, Call::Submit { lot: long.clone(), route: "lots".to_owned(), body: request });
+    let ticket = fleet.call(3, Call::Submit { job: long.clone(), route: "lots".to_owned(), body: request });
     fleet.pass(1.5);
     assert!(fleet.bytes - before < body / 2, "{} bytes for a job of {body}", fleet.bytes - before);
     // When they are back, then the same call is accepted.
--- a/crates/coordinator/tests/quota.rs
+++ b/crates/coordinator/tests/quota.rs
@@ -4,9 +4,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::{Fleet, MS, lots_of, settle, settled, submit};
+use common::{Fleet, MS, jobs_of, settle, settled, submit};
 use rainlug::SECOND;
-use rainlug_coordinator::{Call, PARTS, part_of, part_of_lot};
+use rainlug_coordinator::{BATCH_SHARDS, Call, shard_of_job, shard_of_route};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -21,7 +21,7 @@
 const LEAK: f64 = 30.0 + 5.0 + 2.0;
 
 fn read(id: &str) -> Call {
-    Call::Read { lot: id.to_owned(), since: 0, wait: 0 }
+    Call::Read { job: id.to_owned(), since: 0, wait: 0 }
 }
 
 fn status(fleet: &mut Fleet, at: usize, call: Call) -> u16 {
@@ -41,15 +41,15 @@
 }
 
 /// One of the figures of a part at its leader.
-fn figure(fleet: &Fleet, part: u16, what: &str) -> Option<f64> {
-    let figures = fleet.machines[fleet.leader(part)?].coordinator.as_ref()?.figures();
-    let name = format!("part_{part}_{what}");
-    figures.iter().find(|(found, _)| *found == name).map(|(_, value)| *value)
+fn figure(fleet: &Fleet, shard: u16, what: &str) -> Option<f64> {
+    let metrics = fleet.machines[fleet.leader(shard)?].coordinator.as_ref()?.metrics();
+    let name = format!("part_{shard}_{what}");
+    metrics.iter().find(|(found, _)| *found == name).map(|(_, value)| *value)
 }
 
 /// Tokens that the route's ledger has counted.
 fn counted(fleet: &Fleet) -> f64 {
-    figure(fleet, part_of("lots"), "tokens_counted").expect("a leader")
+    figure(fleet, shard_of_route("lots"), "tokens_counted").expect("a leader")
 }
 
 /// Sums the tokens that wait in all parts each time that a batch job is accepted.
@@ -76,9 +76,9 @@
     }
 
     fn sum(&mut self, fleet: &Fleet) -> f64 {
-        for part in 1..=PARTS {
-            if let Some(tokens) = figure(fleet, part, "tokens_waiting") {
-                self.waiting.insert(part, tokens);
+        for shard in 1..=BATCH_SHARDS {
+            if let Some(tokens) = figure(fleet, shard, "tokens_waiting") {
+                self.waiting.insert(shard, tokens);
             }
         }
         self.waiting.values().sum()
@@ -102,11 +102,11 @@
 const LONG: i64 = 600 * SECOND;
 
 /// A batch job whose part another store leads than the ledger's.
-fn lot_led_elsewhere(fleet: &Fleet) -> String {
-    let ledger = fleet.leader(part_of("lots")).expect("a leader");
-    let is_elsewhere = |part: &u16| fleet.leader(*part).is_some_and(|leader| leader != ledger);
-    let part = (1..=PARTS).find(is_elsewhere).expect("another store leads a part");
-    lots_of(part, 1).remove(0)
+fn job_led_elsewhere(fleet: &Fleet) -> String {
+    let quota_ledger = fleet.leader(shard_of_route("lots")).expect("a leader");
+    let is_elsewhere = |shard: &u16| fleet.leader(*shard).is_some_and(|leader| leader != quota_ledger);
+    let shard = (1..=BATCH_SHARDS).find(is_elsewhere).expect("another store leads a part");
+    jobs_of(shard, 1).remove(0)
 }
 
 #[test]
@@ -126,8 +126,8 @@
             names.iter().zip(&statuses).filter(|(_, status)| **status == 202).map(|(name, _)| name).collect();
         assert_eq!(taken.len(), 10, "seed {seed}: {statuses:?}");
         assert_eq!(statuses.iter().filter(|status| **status == 429).count(), 30, "seed {seed}");
-        let parts: BTreeSet<u16> = taken.iter().map(|name| part_of_lot(name)).collect();
-        assert!(parts.len() > 1, "seed {seed}");
+        let shards: BTreeSet<u16> = taken.iter().map(|name| shard_of_job(name)).collect();
+        assert!(shards.len() > 1, "seed {seed}");
         assert_eq!((checker.most, counted(&fleet)), (QUOTA, QUOTA), "seed {seed}");
         for (at, known) in taken.into_iter().take(GATEWAYS).enumerate() {
             let refused = fleet.ask(at, submit("one-more", 1), 2.0).expect("an answer");
@@ -143,12 +143,12 @@
 
 #[test]
 fn given_nine_tenths_of_the_quota_when_a_batch_job_fits_then_it_is_taken_in_each_part_and_no_larger_one() {
-    for part in 1..=PARTS {
-        let mut fleet = fleet(4, 100 + u64::from(part), LONG);
+    for shard in 1..=BATCH_SHARDS {
+        let mut fleet = fleet(4, 100 + u64::from(shard), LONG);
         for nth in 0..9 {
             assert_eq!(status(&mut fleet, nth % GATEWAYS, submit(&format!("lot-{nth}"), TENTH)), 202);
         }
-        let [ref larger, ref fits] = lots_of(part, 2)[..] else { panic!("two names") };
+        let [ref larger, ref fits] = jobs_of(shard, 2)[..] else { panic!("two names") };
         assert_eq!(status(&mut fleet, 0, submit(larger, TENTH + 1)), 429);
         assert_eq!(status(&mut fleet, 1, submit(fits, TENTH)), 202);
         assert_eq!(status(&mut fleet, 2, submit(larger, 1)), 429);
@@ -177,7 +177,7 @@
         fleet.run_time = LONG;
         assert_eq!(status(&mut fleet, 0, submit("ended", 10 * TENTH / 5)), 202);
         assert!(counted(&fleet) > 0.0);
-        assert_eq!(status(&mut fleet, 1, Call::End { lot: "ended".to_owned() }), 200);
+        assert_eq!(status(&mut fleet, 1, Call::End { job: "ended".to_owned() }), 200);
         fleet.pass(1.0);
         assert_eq!(counted(&fleet), 0.0, "seed {seed}");
         assert!(checker.most <= QUOTA, "seed {seed}: {}", checker.most);
@@ -192,9 +192,9 @@
         for nth in 0..8 {
             assert_eq!(status(&mut fleet, nth % GATEWAYS, submit(&format!("lot-{nth}"), TENTH)), 202);
         }
-        let name = lot_led_elsewhere(&fleet);
-        let part = if of_ledger { part_of("lots") } else { part_of_lot(&name) };
-        let leader = fleet.leader(part).expect("a leader");
+        let name = job_led_elsewhere(&fleet);
+        let shard = if of_ledger { shard_of_route("lots") } else { shard_of_job(&name) };
+        let leader = fleet.leader(shard).expect("a leader");
         let first = fleet.call(0, submit(&name, TENTH));
         checker.pass(&mut fleet, 0.0008 * seed as f64);
         fleet.kill(leader, true);
@@ -226,8 +226,8 @@
     let mut leaked = 0;
     for seed in 0..8 {
         let mut fleet = fleet(5, 400 + seed, LONG);
-        let name = lot_led_elsewhere(&fleet);
-        let leader = fleet.leader(part_of_lot(&name)).expect("a leader");
+        let name = job_led_elsewhere(&fleet);
+        let leader = fleet.leader(shard_of_job(&name)).expect("a leader");
         let ticket = fleet.call(0, submit(&name, TENTH));
         assert!(fleet.until(1.0, |fleet| counted(fleet) > 0.0), "it is reserved");
         // Its leader is gone before it hears of that, and so is the gateway that would ask again.
@@ -263,9 +263,9 @@
 }
 
 /// Members of a part's group, by the place of their machines.
-fn group(fleet: &Fleet, part: u16) -> Vec<usize> {
-    let leader = fleet.leader(part).expect("a leader");
-    let members = fleet.machines[leader].coordinator.as_ref().expect("it runs").leads(part).2;
+fn group(fleet: &Fleet, shard: u16) -> Vec<usize> {
+    let leader = fleet.leader(shard).expect("a leader");
+    let members = fleet.machines[leader].coordinator.as_ref().expect("it runs").leads(shard).2;
     let place = |at| fleet.machines.iter().position(|machine| machine.at == at);
     members.iter().filter_map(|member| place(member.at)).collect()
 }
@@ -274,14 +274,15 @@
 fn given_a_ledger_without_a_quorum_when_a_batch_job_comes_then_it_is_refused_at_once_and_does_not_run() {
     for seed in 0..4 {
         let mut fleet = fleet(9, 600 + seed, 300 * MS);
-        let ledger = part_of("lots");
-        let gone: Vec<usize> = group(&fleet, ledger)[..2].to_vec();
-        let lives = |part: &u16| {
-            let members = group(&fleet, *part);
+        let quota_ledger = shard_of_route("lots");
+        let gone: Vec<usize> = group(&fleet, quota_ledger)[..2].to_vec();
+        let lives = |shard: &u16| {
+            let members = group(&fleet, *shard);
             members.iter().filter(|member| !gone.contains(member)).count() > members.len() / 2
         };
-        let part = (1..=PARTS).filter(|part| *part != ledger).find(lives).expect("a part that lives");
-        let name = lots_of(part, 1).remove(0);
+        let shard =
+            (1..=BATCH_SHARDS).filter(|shard| *shard != quota_ledger).find(lives).expect("a part that lives");
+        let name = jobs_of(shard, 1).remove(0);
         gone.iter().for_each(|store| fleet.kill(*store, true));
         fleet.pass(3.0);
         for _ in 0..3 {
@@ -295,10 +296,10 @@
         assert_eq!(status(&mut fleet, 2, read(&name)), 404, "seed {seed}");
         gone.iter().for_each(|store| fleet.start(*store, false));
         fleet.pass(3.0);
-        assert!(fleet.runs.iter().all(|(_, lot, _)| *lot != name), "seed {seed}");
+        assert!(fleet.runs.iter().all(|(_, job, _)| *job != name), "seed {seed}");
         assert_eq!(until_clear(&mut fleet, 3, &submit(&name, 3)), 202, "seed {seed}");
         fleet.pass(3.0);
-        assert!(fleet.runs.iter().any(|(_, lot, _)| *lot == name), "seed {seed}");
+        assert!(fleet.runs.iter().any(|(_, job, _)| *job == name), "seed {seed}");
     }
 }
 
@@ -310,7 +311,7 @@
         for nth in 0..10 {
             assert_eq!(status(&mut fleet, nth % GATEWAYS, submit(&format!("lot-{nth}"), TENTH)), 202);
         }
-        let leader = fleet.leader(part_of("lots")).expect("a leader");
+        let leader = fleet.leader(shard_of_route("lots")).expect("a leader");
         let wiped = if seed == 0 { leader } else { GATEWAYS + seed as usize };
         fleet.wipe(wiped);
         checker.pass(&mut fleet, 2.0);
@@ -327,25 +328,25 @@
  {
     for seed in 0..6 {
         let mut fleet = fleet(6, 800 + seed, 400 * MS);
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut checker = Checker::default();
         let mut sent: BTreeMap<String, (usize, u64)> = BTreeMap::new();
         let mut count = 0;
         for _ in 0..12 {
-            let store = GATEWAYS + chance.random_range(0..6);
+            let store = GATEWAYS + rng.random_range(0..6);
             for _ in 0..30 {
                 count += 1;
-                let (name, items) = (format!("lot-{count}"), chance.random_range(1..=TENTH));
-                let ticket = fleet.call(chance.random_range(0..GATEWAYS), submit(&name, items));
+                let (name, items) = (format!("lot-{count}"), rng.random_range(1..=TENTH));
+                let ticket = fleet.call(rng.random_range(0..GATEWAYS), submit(&name, items));
                 sent.insert(name, (items, ticket));
                 checker.pass(&mut fleet, 0.02);
             }
-            if chance.random_bool(0.3) {
+            if rng.random_bool(0.3) {
                 fleet.wipe(store)
             } else {
                 fleet.kill(store, true)
             }
-            checker.pass(&mut fleet, chance.random_range(0.1..3.0));
+            checker.pass(&mut fleet, rng.random_range(0.1..3.0));
             fleet.start(store, false);
             checker.pass(&mut fleet, 5.0);
         }
@@ -358,7 +359,7 @@
                 let answer = fleet.ask(1, read(name), 3.0).expect("an answer");
                 let text = String::from_utf8_lossy(&answer.body).into_owned();
                 assert!(text.contains(&format!("\"grand_total\":{items},")), "seed {seed}: {name}: {text}");
-                let open = figure(&fleet, part_of_lot(name), "tokens_waiting");
+                let open = figure(&fleet, shard_of_job(name), "tokens_waiting");
                 assert_eq!(open, Some(0.0), "seed {seed}: all items are listed");
             }
         }
@@ -376,14 +377,14 @@
             (fleet.tolerate, fleet.seeds) = (tolerate, 3);
             settle(&mut fleet);
             fleet.pass(3.0);
-            let groups: Vec<Vec<usize>> = (1..=PARTS).map(|part| group(&fleet, part)).collect();
+            let groups: Vec<Vec<usize>> = (1..=BATCH_SHARDS).map(|shard| group(&fleet, shard)).collect();
             let seats: Vec<usize> = (2 * tolerate + 2..fleet.machines.len())
                 .map(|store| groups.iter().filter(|group| group.contains(&store)).count())
                 .collect();
             assert!(groups.iter().all(|group| group.len() == 2 * tolerate + 1));
             let (least, most) = (seats.iter().min(), seats.iter().max());
             assert!(least >= Some(&1) && most <= Some(&(tolerate + 1)), "seed {seed}: {seats:?}");
-            let led: BTreeSet<usize> = (1..=PARTS).filter_map(|part| fleet.leader(part)).collect();
+            let led: BTreeSet<usize> = (1..=BATCH_SHARDS).filter_map(|shard| fleet.leader(shard)).collect();
             assert!(led.len() >= 3, "seed {seed}: {led:?}");
             leaders += led.len();
         }
@@ -398,7 +399,7 @@
         let gone = GATEWAYS + seed as usize;
         fleet.kill(gone, true);
         fleet.pass(12.0);
-        let groups: Vec<Vec<usize>> = (1..=PARTS).map(|part| group(&fleet, part)).collect();
+        let groups: Vec<Vec<usize>> = (1..=BATCH_SHARDS).map(|shard| group(&fleet, shard)).collect();
         assert!(groups.iter().all(|group| group.len() == 3 && !group.contains(&gone)), "seed {seed}");
         let seats = |store| groups.iter().filter(|group| group.contains(&store)).count();
         let most = (GATEWAYS..fleet.machines.len()).map(seats).max();
--- a/crates/coordinator/tests/reads.rs
+++ b/crates/coordinator/tests/reads.rs
@@ -2,18 +2,18 @@
 
 mod common;
 
-use common::{Fleet, lot, lots_of, settled};
+use common::{Fleet, job, jobs_of, settled};
 use rainlug_coordinator::Call;
 
-const PART: u16 = 1;
+const SHARD: u16 = 1;
 const ITEMS: usize = 20;
 /// As many as may wait for one round at once.
 const MOST_READS: usize = 16;
 
 fn with_job(seed: u64) -> (Fleet, String) {
     let mut fleet = settled(3, 2, 3, seed);
-    let id = lots_of(PART, 1).remove(0);
-    let submit = Call::Submit { lot: id.clone(), route: "lots".to_owned(), body: lot(&id, ITEMS) };
+    let id = jobs_of(SHARD, 1).remove(0);
+    let submit = Call::Submit { job: id.clone(), route: "lots".to_owned(), body: job(&id, ITEMS) };
     assert_eq!(fleet.ask(3, submit, 3.5).map(|answer| answer.status), Some(202));
     fleet.pass(8.0);
     (fleet, id)
@@ -21,7 +21,7 @@
 
 /// How many reads that come at once are answered, by status, within 0.3 s.
 fn read_at_once(fleet: &mut Fleet, id: &str, since: u64, wait: i64, count: usize) -> (usize, usize) {
-    let read = || Call::Read { lot: id.to_owned(), since, wait };
+    let read = || Call::Read { job: id.to_owned(), since, wait };
     let tickets: Vec<u64> = (0..count).map(|_| fleet.call(3, read())).collect();
     fleet.pass(0.3);
     let answered = tickets.iter().filter_map(|ticket| fleet.answers.get(ticket));
--- a/crates/coordinator/tests/relays.rs
+++ b/crates/coordinator/tests/relays.rs
@@ -28,7 +28,7 @@
 }
 
 fn read(id: &str) -> Call {
-    Call::Read { lot: id.to_owned(), since: 0, wait: 0 }
+    Call::Read { job: id.to_owned(), since: 0, wait: 0 }
 }
 
 /// Given a gateway that is cut off from the core and the stores, either way or both, when it is sent a batch job, then that is taken
@@ -74,8 +74,8 @@
 fn a_lost_leader_is_waited_for() {
     for at in CORE..CORE + PLAIN {
         let mut fleet = fleet(20 + at as u64);
-        let part = rainlug_coordinator::part_of_lot("job");
-        let leader = fleet.leader(part).expect("somebody leads");
+        let shard = rainlug_coordinator::shard_of_job("job");
+        let leader = fleet.leader(shard).expect("somebody leads");
         fleet.kill(leader, true);
         let answer = fleet.ask(at, submit("job", ITEMS), 3.5).map(|answer| answer.status);
         assert_eq!(answer, Some(202), "at {at}");
--- a/crates/coordinator/tests/stories.rs
+++ b/crates/coordinator/tests/stories.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use bytes::Bytes;
-use common::{Fleet, MS, beat, configuration, lots_of, settle, settled, submit};
+use common::{Fleet, MS, configuration, heartbeat, jobs_of, settle, settled, submit};
 use rainlug::SECOND;
-use rainlug_coordinator::{CONTROL, Call, PARTS, part_of, part_of_lot};
+use rainlug_coordinator::{BATCH_SHARDS, CONTROL, Call, shard_of_job, shard_of_route};
 use rainlug_registry::Phase;
 
 fn configure(base: u64, version: u64) -> Call {
@@ -13,14 +13,14 @@
 }
 
 /// Tokens that a ledger's part has counted, as one of its members knows.
-fn counted(fleet: &Fleet, at: usize, part: u16) -> f64 {
-    let figures = fleet.machines[at].coordinator.as_ref().map(|c| c.figures()).unwrap_or_default();
-    let name = format!("part_{part}_tokens_counted");
-    figures.iter().find(|(found, _)| *found == name).map_or(0.0, |(_, value)| *value)
+fn counted(fleet: &Fleet, at: usize, shard: u16) -> f64 {
+    let metrics = fleet.machines[at].coordinator.as_ref().map(|c| c.metrics()).unwrap_or_default();
+    let name = format!("part_{shard}_tokens_counted");
+    metrics.iter().find(|(found, _)| *found == name).map_or(0.0, |(_, value)| *value)
 }
 
 fn read(id: &str, since: u64) -> Call {
-    Call::Read { lot: id.to_owned(), since, wait: 0 }
+    Call::Read { job: id.to_owned(), since, wait: 0 }
 }
 
 #[test]
@@ -29,12 +29,12 @@
     for machine in &fleet.machines {
         assert_eq!(machine.in_force, [5], "{}", machine.name);
     }
-    for part in CONTROL..=PARTS {
-        let leader = fleet.leader(part).expect("a leader");
-        let members = fleet.machines[leader].coordinator.as_ref().unwrap().leads(part).2;
+    for shard in CONTROL..=BATCH_SHARDS {
+        let leader = fleet.leader(shard).expect("a leader");
+        let members = fleet.machines[leader].coordinator.as_ref().unwrap().leads(shard).2;
         let zones: std::collections::BTreeSet<&str> =
             members.iter().map(|m| m.at.to_string().leak() as &str).collect();
-        assert_eq!((members.len(), zones.len()), (3, 3), "part {part}");
+        assert_eq!((members.len(), zones.len()), (3, 3), "part {shard}");
     }
 }
 
@@ -86,18 +86,18 @@
 #[test]
 fn given_a_worker_when_its_beat_says_draining_then_all_know_before_it_is_acknowledged() {
     let mut fleet = settled(4, 6, 3, 4);
-    assert_eq!(fleet.ask(2, beat("w1", "notary", "ready", 1), 2.0).map(|a| a.status), Some(200));
+    assert_eq!(fleet.ask(2, heartbeat("w1", "notary", "ready", 1), 2.0).map(|a| a.status), Some(200));
     fleet.pass(1.0);
     assert!(fleet.machines.iter().all(|m| m.workers["w1"].phase == Phase::Ready));
     let since = fleet.now;
-    assert_eq!(fleet.ask(7, beat("w1", "notary", "draining", 2), 2.0).map(|a| a.status), Some(200));
+    assert_eq!(fleet.ask(7, heartbeat("w1", "notary", "draining", 2), 2.0).map(|a| a.status), Some(200));
     assert!(fleet.now - since < 100 * MS);
     assert!(fleet.machines.iter().all(|m| m.workers["w1"].phase == Phase::Draining));
     // A late beat changes nothing.
-    fleet.ask(1, beat("w1", "notary", "ready", 1), 2.0);
+    fleet.ask(1, heartbeat("w1", "notary", "ready", 1), 2.0);
     fleet.pass(1.0);
     assert!(fleet.machines.iter().all(|m| m.workers["w1"].phase == Phase::Draining));
-    assert_eq!(fleet.ask(5, Call::Goodbye("w1".to_owned()), 2.0).map(|a| a.status), Some(200));
+    assert_eq!(fleet.ask(5, Call::Deregister("w1".to_owned()), 2.0).map(|a| a.status), Some(200));
     fleet.pass(1.0);
     assert!(fleet.machines.iter().all(|m| m.workers["w1"].phase == Phase::Gone));
 }
@@ -105,10 +105,10 @@
 #[test]
 fn given_a_frozen_neighbour_when_a_worker_drains_then_the_others_know_and_the_answer_is_not_held_a_second() {
     let mut fleet = settled(4, 6, 3, 5);
-    fleet.ask(2, beat("w1", "notary", "ready", 1), 2.0);
+    fleet.ask(2, heartbeat("w1", "notary", "ready", 1), 2.0);
     fleet.freeze(8);
     let since = fleet.now;
-    assert_eq!(fleet.ask(7, beat("w1", "notary", "draining", 2), 2.0).map(|a| a.status), Some(200));
+    assert_eq!(fleet.ask(7, heartbeat("w1", "notary", "draining", 2), 2.0).map(|a| a.status), Some(200));
     assert!(fleet.now - since < 500 * MS);
     let knows = |m: &common::Machine| m.frozen || m.workers["w1"].phase == Phase::Draining;
     assert!(fleet.machines.iter().all(knows));
@@ -121,13 +121,13 @@
 fn given_a_worker_when_its_beats_stop_then_it_is_called_silent_and_its_next_beat_brings_it_back() {
     let mut fleet = settled(3, 3, 3, 6);
     for seq in 1..5 {
-        fleet.ask(2, beat("w1", "notary", "ready", seq), 2.0);
+        fleet.ask(2, heartbeat("w1", "notary", "ready", seq), 2.0);
         fleet.pass(1.1);
     }
     // Beats go to whom the answer names; here they all came to another one, who heard only some.
     fleet.pass(8.0);
     assert!(fleet.machines.iter().all(|m| m.workers["w1"].phase == Phase::Silent));
-    fleet.ask(4, beat("w1", "notary", "ready", 9), 2.0);
+    fleet.ask(4, heartbeat("w1", "notary", "ready", 9), 2.0);
     fleet.pass(1.0);
     assert!(fleet.machines.iter().all(|m| m.workers["w1"].phase == Phase::Ready));
 }
@@ -159,7 +159,7 @@
     }
     let refused = fleet.ask(2, submit("one-more", 1), 3.0).expect("an answer");
     assert!(refused.status == 429 && refused.retry.is_some(), "{refused:?}");
-    assert_eq!(fleet.ask(1, Call::End { lot: "job3".to_owned() }, 3.0).map(|a| a.status), Some(200));
+    assert_eq!(fleet.ask(1, Call::End { job: "job3".to_owned() }, 3.0).map(|a| a.status), Some(200));
     // The part of the ended job tells the route's ledger.
     fleet.pass(0.5);
     assert_eq!(fleet.ask(2, submit("one-more", 200), 3.0).map(|a| a.status), Some(202));
@@ -249,8 +249,8 @@
     let mut fleet = settled(3, 2, 4, 10);
     assert_eq!(fleet.ask(3, submit("job", 100), 3.0).map(|a| a.status), Some(202));
     fleet.pass(0.4);
-    let part = part_of_lot("job");
-    let leader = fleet.leader(part).expect("a leader");
+    let shard = shard_of_job("job");
+    let leader = fleet.leader(shard).expect("a leader");
     fleet.freeze(leader);
     fleet.pass(3.0);
     let before = fleet.ask(0, read("job", 0), 3.0).expect("an answer");
@@ -340,14 +340,14 @@
     for seed in 0..40 {
         let mut fleet = settled(3, 2, 3, 700 + seed);
         fleet.pass(1.0);
-        for part in 1..=PARTS {
+        for shard in 1..=BATCH_SHARDS {
             for store in 5..8 {
-                let members = fleet.machines[store].coordinator.as_ref().unwrap().leads(part).2;
-                assert_eq!(members.len(), 3, "seed {seed}: part {part} at {store}");
+                let members = fleet.machines[store].coordinator.as_ref().unwrap().leads(shard).2;
+                assert_eq!(members.len(), 3, "seed {seed}: part {shard} at {store}");
             }
-            let leader = fleet.leader(part).expect("a leader");
+            let leader = fleet.leader(shard).expect("a leader");
             fleet.wipe(leader);
-            assert!(fleet.until(3.0, |f| f.leader(part).is_some()), "seed {seed}: part {part}");
+            assert!(fleet.until(3.0, |f| f.leader(shard).is_some()), "seed {seed}: part {shard}");
             fleet.start(leader, false);
             fleet.pass(6.0);
         }
@@ -358,12 +358,12 @@
 fn given_a_store_that_hears_a_parts_leader_before_the_roster_then_it_begins_nothing_without_a_group() {
     let mut fleet = common::Fleet::new(3, 0, 1, 12);
     fleet.start(3, true);
-    let head = rainlug_coordinator::frame::join(&rainlug_coordinator::frame::Head::Group { part: 1 }, b"");
+    let head = rainlug_coordinator::frame::join(&rainlug_coordinator::frame::Head::Group { shard: 1 }, b"");
     let now = rainlug_coordinator::Now { steady: fleet.now, wall: fleet.now };
     let coordinator = fleet.machines[3].coordinator.as_mut().expect("it runs");
     coordinator.frame(now, common::address(0), &head).expect("a frame");
     assert!(
-        coordinator.figures().iter().all(|(name, _)| !name.starts_with("part_1")),
+        coordinator.metrics().iter().all(|(name, _)| !name.starts_with("part_1")),
         "a part without a group"
     );
 }
@@ -376,7 +376,7 @@
     fleet.run_time = 2 * SECOND;
     settle(&mut fleet);
     let mut accepted = Vec::new();
-    let refused = lots_of(1, 20).into_iter().find_map(|id| {
+    let refused = jobs_of(1, 20).into_iter().find_map(|id| {
         let answer = fleet.ask(5, submit(&id, 100), 2.0).expect("an answer");
         if answer.status == 202 {
             accepted.push(id);
@@ -401,13 +401,13 @@
  {
     let mut fleet = settled(4, 6, 4, 62);
     // Its tokens are reserved and it is on its way to its own leader's disk when that and all others stall.
-    let ledger = part_of("lots");
-    let counts = fleet.leader(ledger).expect("a leader");
-    let elsewhere = |part: &u16| fleet.leader(*part).is_some_and(|leader| leader != counts);
-    let part = (1..=PARTS).find(elsewhere).expect("another store leads a part");
-    let [ref first, ref second] = lots_of(part, 2)[..] else { panic!("two names") };
+    let quota_ledger = shard_of_route("lots");
+    let counts = fleet.leader(quota_ledger).expect("a leader");
+    let elsewhere = |shard: &u16| fleet.leader(*shard).is_some_and(|leader| leader != counts);
+    let shard = (1..=BATCH_SHARDS).find(elsewhere).expect("another store leads a part");
+    let [ref first, ref second] = jobs_of(shard, 2)[..] else { panic!("two names") };
     let ticket = fleet.call(5, submit(first, 3));
-    assert!(fleet.until(1.0, |fleet| counted(fleet, counts, ledger) == 300.0));
+    assert!(fleet.until(1.0, |fleet| counted(fleet, counts, quota_ledger) == 300.0));
     fleet.sync = 2 * SECOND;
     fleet.pass(1.2);
     assert!(!fleet.answers.contains_key(&ticket), "nothing is acknowledged before it is saved");
@@ -428,9 +428,9 @@
     for ticket in tickets {
         assert_eq!(fleet.answers.get(&ticket).map(|a| a.1.status), Some(202));
     }
-    let leader = fleet.leader(part_of_lot("twice")).expect("a leader");
+    let leader = fleet.leader(shard_of_job("twice")).expect("a leader");
     let disk = fleet.machines[leader].disk.as_ref().expect("a store has a disk");
-    let log = &disk.synced[&part_of_lot("twice")];
+    let log = &disk.synced[&shard_of_job("twice")];
     let bodies = log.iter().filter(|r| r.len() > 2000 && r.windows(8).any(|w| w == b"twice-49")).count();
     assert_eq!(bodies, 1);
 }
--- a/crates/coordinator/tests/vacating.rs
+++ b/crates/coordinator/tests/vacating.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
-use common::{Fleet, lots_of, settled};
-use rainlug_coordinator::{Answer, Call, PARTS};
+use common::{Fleet, jobs_of, settled};
+use rainlug_coordinator::{Answer, BATCH_SHARDS, Call};
 
-const PART: u16 = 1;
+const SHARD: u16 = 1;
 const ITEMS: usize = 20;
 /// Of five gateways and four stores, the stores.
 const STORES: std::ops::Range<usize> = 5..9;
@@ -16,37 +16,37 @@
 
 fn is_member(fleet: &Fleet, at: usize) -> bool {
     let id = fleet.machines[at].disk.as_ref().unwrap().id;
-    let leader = fleet.leader(PART).expect("a leader");
-    let group = fleet.machines[leader].coordinator.as_ref().unwrap().leads(PART).2;
+    let leader = fleet.leader(SHARD).expect("a leader");
+    let group = fleet.machines[leader].coordinator.as_ref().unwrap().leads(SHARD).2;
     group.iter().any(|member| member.id == id)
 }
 
 fn followers(fleet: &Fleet) -> Vec<usize> {
-    STORES.filter(|at| is_member(fleet, *at) && fleet.leader(PART) != Some(*at)).collect()
+    STORES.filter(|at| is_member(fleet, *at) && fleet.leader(SHARD) != Some(*at)).collect()
 }
 
 fn spare(fleet: &Fleet) -> usize {
     STORES.into_iter().find(|at| !is_member(fleet, *at)).expect("a store without a seat")
 }
 
-fn figures(fleet: &Fleet, at: usize) -> Vec<(String, f64)> {
-    let figures = fleet.machines[at].coordinator.as_ref().unwrap().figures();
-    figures.into_iter().filter(|figure| figure.0.starts_with(&format!("part_{PART}_"))).collect()
+fn metrics(fleet: &Fleet, at: usize) -> Vec<(String, f64)> {
+    let metrics = fleet.machines[at].coordinator.as_ref().unwrap().metrics();
+    metrics.into_iter().filter(|figure| figure.0.starts_with(&format!("part_{SHARD}_"))).collect()
 }
 
 fn state_bytes(fleet: &Fleet, at: usize) -> f64 {
-    let name = format!("part_{PART}_bytes");
-    figures(fleet, at).into_iter().find(|figure| figure.0 == name).map_or(0.0, |figure| figure.1)
+    let name = format!("part_{SHARD}_bytes");
+    metrics(fleet, at).into_iter().find(|figure| figure.0 == name).map_or(0.0, |figure| figure.1)
 }
 
 fn disk_bytes(fleet: &Fleet, at: usize) -> usize {
     let disk = fleet.machines[at].disk.as_ref().unwrap();
-    disk.synced.get(&PART).map_or(0, |records| records.iter().map(|record| record.len()).sum())
+    disk.synced.get(&SHARD).map_or(0, |records| records.iter().map(|record| record.len()).sum())
 }
 
 /// All items of a batch job are listed, as read at a gateway.
 fn assert_whole(fleet: &mut Fleet, id: &str) {
-    let read = Call::Read { lot: id.to_owned(), since: 0, wait: 0 };
+    let read = Call::Read { job: id.to_owned(), since: 0, wait: 0 };
     let answer = fleet.ask(3, read, 3.0).expect("an answer");
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     assert!(text.contains(&format!("\"next_token\":{ITEMS},")), "{}: {text:.200}", answer.status);
@@ -55,7 +55,7 @@
 /// A fleet with a batch job in the part, all of it listed.
 fn with_job(seed: u64) -> (Fleet, String) {
     let mut fleet = settled(3, 2, 4, seed);
-    let id = lots_of(PART, 1).remove(0);
+    let id = jobs_of(SHARD, 1).remove(0);
     assert_eq!(fleet.ask(3, submit(&id), 3.5).map(|answer: Answer| answer.status), Some(202));
     fleet.pass(8.0);
     (fleet, id)
@@ -77,13 +77,13 @@
     let (mut fleet, id, out) = with_lost_seat(41);
     fleet.pass(30.0);
     assert!(!is_member(&fleet, out), "another one has its seat");
-    assert!(figures(&fleet, out).is_empty(), "{:?}", figures(&fleet, out));
+    assert!(metrics(&fleet, out).is_empty(), "{:?}", metrics(&fleet, out));
     assert!(disk_bytes(&fleet, out) < 100, "{} bytes", disk_bytes(&fleet, out));
     // Also after another start.
     fleet.kill(out, true);
     fleet.start(out, false);
     fleet.pass(2.0);
-    assert!(figures(&fleet, out).is_empty(), "{:?}", figures(&fleet, out));
+    assert!(metrics(&fleet, out).is_empty(), "{:?}", metrics(&fleet, out));
     assert_whole(&mut fleet, &id);
 }
 
@@ -96,7 +96,7 @@
     fleet.pass(12.0);
     assert!(is_member(&fleet, out), "it has the seat of the one that is gone");
     // What it was filled with is enough for the part to go on with it.
-    let leader = fleet.leader(PART).unwrap();
+    let leader = fleet.leader(SHARD).unwrap();
     fleet.kill(leader, true);
     fleet.pass(8.0);
     assert!(state_bytes(&fleet, out) > 0.0);
@@ -136,7 +136,7 @@
     // The change has just reached it; it cannot know whether that was committed.
     let is_named = |fleet: &Fleet| {
         let store = &fleet.machines[new];
-        let group = store.coordinator.as_ref().map(|coordinator| coordinator.leads(PART).2);
+        let group = store.coordinator.as_ref().map(|coordinator| coordinator.leads(SHARD).2);
         group.is_some_and(|group| group.iter().any(|member| member.at == store.at))
     };
     assert!(fleet.until(10.0, is_named));
@@ -172,5 +172,5 @@
     fleet.pass(10.0);
     let vacated = |at: usize| fleet.machines[at].log.iter().filter(|line| line.contains("vacated")).count();
     assert_eq!(STORES.map(vacated).sum::<usize>(), 0);
-    assert!((1..=PARTS).all(|part| fleet.leader(part).is_some()));
+    assert!((1..=BATCH_SHARDS).all(|shard| fleet.leader(shard).is_some()));
 }
--- a/crates/gateway/src/answers.rs
+++ b/crates/gateway/src/answers.rs
@@ -105,8 +105,8 @@
 }
 
 fn load(text: &str) -> Option<(u32, u32, u32)> {
-    let mut figures = text.split(',').map(|figure| figure.trim().parse().ok());
-    Some((figures.next()??, figures.next()??, figures.next()??))
+    let mut metrics = text.split(',').map(|figure| figure.trim().parse().ok());
+    Some((metrics.next()??, metrics.next()??, metrics.next()??))
 }
 
 /// Copies the fields that do not concern one connection only and that `passes` lets through. How the body is framed is said
--- a/crates/gateway/src/lots.rs
+++ b/crates/gateway/src/batch_api.rs
@@ -5,7 +5,7 @@
 use rainlug_registry::{Kind, Route};
 
 use crate::request::Request;
-use crate::{Lots, Reply, Replying};
+use crate::{BatchApi, Reply, Replying};
 
 /// What a request asks of the batch jobs.
 pub(crate) enum Call {
@@ -16,34 +16,34 @@
 }
 
 /// The call under `/v1/lots/` or `/v1/items/`, where it is one.
-pub(crate) fn call(request: &Request, lots: &dyn Lots) -> Option<Call> {
+pub(crate) fn call(request: &Request, batch_api: &dyn BatchApi) -> Option<Call> {
     let path = request.path();
     let named = |prefix| path.strip_prefix(prefix).filter(|id: &&str| !id.is_empty() && !id.contains('/'));
     if let Some(id) = named("/v1/lots/").map(str::to_owned) {
         return Some(match &request.method[..] {
             "GET" => match request.parameter("since_item").map_or(Ok(0), str::parse) {
-                Ok(since) => Call::Read(lots.read(id, since, request.wait_ms)),
+                Ok(since) => Call::Read(batch_api.read(id, since, request.wait_ms)),
                 Err(_) => Call::Wrong(400),
             },
-            "DELETE" => Call::Submit(lots.end(id)),
+            "DELETE" => Call::Submit(batch_api.end(id)),
             _ => Call::Wrong(405),
         });
     }
     let id = named("/v1/items/")?.to_owned();
     Some(match (&request.method[..], request.parameter("id")) {
-        ("GET", Some(item)) => Call::Read(lots.item(id, item.to_owned())),
+        ("GET", Some(item)) => Call::Read(batch_api.item(id, item.to_owned())),
         ("GET", None) => Call::Wrong(400),
         _ => Call::Wrong(405),
     })
 }
 
 /// The call that a request under a bulk route is.
-pub(crate) fn submit(request: &Request, route: &Rc<Route>, lots: &dyn Lots) -> Option<Call> {
+pub(crate) fn submit(request: &Request, route: &Rc<Route>, batch_api: &dyn BatchApi) -> Option<Call> {
     if route.kind != Kind::Bulk {
         return None;
     }
     Some(match (&request.method[..], &request.id) {
-        ("POST", Some(id)) => Call::Submit(lots.submit(route.clone(), id.clone(), request.body.clone())),
+        ("POST", Some(id)) => Call::Submit(batch_api.submit(route.clone(), id.clone(), request.body.clone())),
         ("POST", None) => Call::Wrong(400),
         _ => Call::Wrong(405),
     })
--- a/crates/gateway/src/forward/answer.rs
+++ b/crates/gateway/src/forward/answer.rs
@@ -78,7 +78,7 @@
                 Ok(Outcome::Answered(status))
             }
             Passed::Broken(end) => {
-                self.gateway.figures.lost.up();
+                self.gateway.metrics.lost.up();
                 self.ask.tried.push(picked.worker.id.clone());
                 picked.ticket.end(end);
                 let goes_on = may_repeat && (!self.began || events);
--- a/crates/gateway/src/forward/attempt.rs
+++ b/crates/gateway/src/forward/attempt.rs
@@ -130,7 +130,7 @@
                 // On a connection that has carried others, whose it is cannot be known; it is enough for who may run again.
                 Echo::Missing => {
                     let alone = connection.rested.is_none() && strays == 0;
-                    self.gateway.figures.unnamed.up();
+                    self.gateway.metrics.unnamed.up();
                     answer.success() || !(alone || (answer.turned_away() && route.repeatable()))
                 }
             };
@@ -141,7 +141,7 @@
                 return Ok(answer);
             }
             // A late answer to an earlier request; ours may come after it.
-            self.gateway.figures.strays.up();
+            self.gateway.metrics.strays.up();
             strays += 1;
             if strays > STRAYS || answer.echo == Echo::Missing || answer.framing == Body::UntilEnd {
                 return lost;
--- a/crates/gateway/src/forward/events.rs
+++ b/crates/gateway/src/forward/events.rs
@@ -41,7 +41,7 @@
                     self.request.last_event.as_ref().and_then(|id| id.parse().ok()).filter(|_| resumes);
             }
         } else {
-            self.gateway.figures.resumed.up();
+            self.gateway.metrics.resumed.up();
         }
         let joined = head.is_none();
         let (mut events, mut started) = (Events::default(), false);
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -180,7 +180,7 @@
                     picked.ticket.end(end);
                 }
                 Tried::Lost(end) => {
-                    self.gateway.figures.lost.up();
+                    self.gateway.metrics.lost.up();
                     if !self.fresh {
                         self.ask.tried.push(picked.worker.id.clone());
                     }
@@ -204,7 +204,7 @@
                 }
             }
             if self.sent > 0 {
-                self.gateway.figures.retried.up();
+                self.gateway.metrics.retried.up();
             }
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -2,11 +2,11 @@
 //! is `rainlug-placement`'s; this crate carries it out.
 
 mod answers;
+mod batch_api;
 mod connections;
-mod figures;
 mod forward;
 mod items;
-mod lots;
+mod metrics;
 mod request;
 mod routing;
 mod server;
@@ -31,7 +31,7 @@
 use tokio::time::{Instant, sleep_until};
 
 use crate::connections::Connections;
-use crate::figures::Figures;
+use crate::metrics::Figures;
 use crate::routing::Service;
 use crate::split::SplitTurns;
 use crate::stopping::Stopping;
@@ -68,7 +68,7 @@
 pub type Replying = Pin<Box<dyn Future<Output = Reply>>>;
 
 /// Where calls on batch jobs go: `POST` under a bulk route, `GET`/`DELETE /v1/lots/ID`, `GET /v1/items/ID?id=`.
-pub trait Lots {
+pub trait BatchApi {
     fn submit(&self, route: Rc<Route>, id: String, body: Bytes) -> Replying;
     fn read(&self, id: String, since_item: u64, wait_ms: u64) -> Replying;
     fn item(&self, id: String, item: String) -> Replying;
@@ -159,7 +159,7 @@
     /// Bytes of bodies of requests in hand.
     bodies: Cell<usize>,
     stopping: Stopping,
-    figures: Figures,
+    metrics: Figures,
 }
 
 impl Gateway {
@@ -181,7 +181,7 @@
             connections,
             bodies: Cell::new(0),
             stopping: Stopping::new(told.grace_s),
-            figures: Figures::default(),
+            metrics: Figures::default(),
             told,
         })
     }
@@ -257,8 +257,8 @@
     }
 
     /// Serves clients for good.
-    pub async fn serve(self: Rc<Self>, front: TcpListener, lots: Rc<dyn Lots>) {
-        server::accept(self, front, lots).await;
+    pub async fn serve(self: Rc<Self>, front: TcpListener, batch_api: Rc<dyn BatchApi>) {
+        server::accept(self, front, batch_api).await;
     }
 
     /// Answers `GET /v1/readiness` for good; 200 where `ready` says so and it is not stopping.
@@ -300,8 +300,8 @@
     }
 
     /// Figures as (name, value), for the control address.
-    pub fn figures(&self) -> Vec<(String, f64)> {
-        self.figures.all(self)
+    pub fn metrics(&self) -> Vec<(String, f64)> {
+        self.metrics.all(self)
     }
 
     /// Where a worker was last reached, for tests.
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -12,11 +12,11 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 use crate::answers::Then;
+use crate::batch_api::{self, Call};
 use crate::forward::{Exchange, Outcome};
-use crate::lots::{self, Call};
 use crate::request::{Request, Unfit};
 use crate::stopping::{NEWCOMER, Stage};
-use crate::{BODIES, Gateway, Lots, Reply, SIZES, millis};
+use crate::{BODIES, BatchApi, Gateway, Reply, SIZES, millis};
 
 /// The pause after a failure to accept that would come again at once.
 const BREATH: Duration = Duration::from_millis(10);
@@ -38,7 +38,7 @@
 const ASKERS: usize = 8;
 
 /// Takes connections until idle ones are closed.
-pub(crate) async fn accept(gateway: Rc<Gateway>, front: TcpListener, lots: Rc<dyn Lots>) {
+pub(crate) async fn accept(gateway: Rc<Gateway>, front: TcpListener, batch_api: Rc<dyn BatchApi>) {
     loop {
         let accepted = tokio::select! {
             biased;
@@ -46,7 +46,7 @@
             () = gateway.stopping.reached(Stage::Closing) => break,
         };
         match accepted {
-            Ok((stream, _)) => welcome(&gateway, stream, &lots),
+            Ok((stream, _)) => welcome(&gateway, stream, &batch_api),
             Err(_) => sleep(BREATH).await,
         }
     }
@@ -55,7 +55,7 @@
         tokio::select! {
             biased;
             accepted = front.accept() => match accepted {
-                Ok((stream, _)) => welcome(&gateway, stream, &lots),
+                Ok((stream, _)) => welcome(&gateway, stream, &batch_api),
                 Err(_) => return,
             },
             () = std::future::ready(()) => return,
@@ -63,14 +63,14 @@
     }
 }
 
-fn welcome(gateway: &Rc<Gateway>, stream: TcpStream, lots: &Rc<dyn Lots>) {
-    let (gateway, lots) = (gateway.clone(), lots.clone());
+fn welcome(gateway: &Rc<Gateway>, stream: TcpStream, batch_api: &Rc<dyn BatchApi>) {
+    let (gateway, batch_api) = (gateway.clone(), batch_api.clone());
     let link =
         move |gateway: &Gateway, seat: Seat| Link::over(stream, head::request_body, &gateway.pool, seat);
     if let Some(seat) = gateway.bounds.clients.seat() {
         spawn_local(async move {
             let link = link(&gateway, seat);
-            connection(&gateway, link, lots.as_ref()).await;
+            connection(&gateway, link, batch_api.as_ref()).await;
         });
     } else if let Some(spare) = gateway.bounds.turned_away.seat() {
         spawn_local(async move {
@@ -78,9 +78,9 @@
             if let Some(seat) = gateway.bounds.clients.claim().await {
                 drop(spare);
                 let link = link(&gateway, seat);
-                connection(&gateway, link, lots.as_ref()).await;
+                connection(&gateway, link, batch_api.as_ref()).await;
             } else {
-                gateway.figures.turned_away.up();
+                gateway.metrics.turned_away.up();
                 turn_away(link(&gateway, spare)).await;
             }
         });
@@ -125,7 +125,7 @@
     Gone,
 }
 
-async fn connection(gateway: &Rc<Gateway>, mut link: Link, lots: &dyn Lots) {
+async fn connection(gateway: &Rc<Gateway>, mut link: Link, batch_api: &dyn BatchApi) {
     let _client = gateway.stopping.client();
     let come = Instant::now();
     let mut rank = UNPROVEN;
@@ -154,21 +154,21 @@
             Ok(request) => request,
             Err(Unread::Gone) => return,
             Err(Unread::Reply(reply)) => {
-                gateway.figures.replied(reply.status);
+                gateway.metrics.replied(reply.status);
                 let _ = timeout(TAKEN, link.write(&[&reply.head(Then::Close)], &Cell::new(0))).await;
                 drop(in_hand);
                 let _ = timeout(FAREWELL, link.finish()).await;
                 return;
             }
         };
-        gateway.figures.requests.up();
+        gateway.metrics.requests.up();
         let keeps = request.keeps && gateway.stopping.stage() == Stage::Serving;
         let then = if keeps { Then::Keep(idle) } else { Then::Close };
         let outcome = match gateway.stopping.stage() {
             Stage::Refusing => Outcome::Own(Reply::refused(PAUSE)),
-            _ => serve(gateway, &mut link, &request, lots, then).await,
+            _ => serve(gateway, &mut link, &request, batch_api, then).await,
         };
-        gateway.figures.ended(&outcome);
+        gateway.metrics.ended(&outcome);
         let mut close = !keeps;
         match outcome {
             Outcome::Answered(_) => {}
@@ -283,10 +283,10 @@
     gateway: &Rc<Gateway>,
     link: &mut Link,
     request: &Request,
-    lots: &dyn Lots,
+    batch_api: &dyn BatchApi,
     then: Then,
 ) -> Outcome {
-    if let Some(call) = lots::call(request, lots) {
+    if let Some(call) = batch_api::call(request, batch_api) {
         let until = request.arrived + request.deadline.unwrap_or(CALL + millis(request.wait_ms));
         return replied(link, call, until).await;
     }
@@ -296,7 +296,7 @@
     let Some(route) = configuration.route(&request.host, request.path()) else {
         return Outcome::Own(Reply::of(404));
     };
-    if let Some(call) = lots::submit(request, route, lots) {
+    if let Some(call) = batch_api::submit(request, route, batch_api) {
         let until = request.until(route);
         return replied(link, call, until).await;
     }
--- a/crates/gateway/tests/plane/common.rs
+++ b/crates/gateway/tests/plane/common.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use rainlug_gateway::{Gateway, GatewaySettings, Lots, Reply, Replying};
+use rainlug_gateway::{BatchApi, Gateway, GatewaySettings, Reply, Replying};
 use rainlug_placement::Mechanisms;
 use rainlug_registry::{Configuration, Phase, Route, Worker};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -175,7 +175,7 @@
 /// Batch jobs that answer what they were asked.
 pub struct Echoing;
 
-impl Lots for Echoing {
+impl BatchApi for Echoing {
     fn submit(&self, route: Rc<Route>, id: String, body: Bytes) -> Replying {
         let text = format!("submit {} {id} {}", route.name, body.len());
         Box::pin(async move {
@@ -276,7 +276,7 @@
     }
 
     pub fn figure(&self, name: &str) -> f64 {
-        self.gateway.figures().into_iter().find(|(n, _)| n == name).unwrap().1
+        self.gateway.metrics().into_iter().find(|(n, _)| n == name).unwrap().1
     }
 }
 
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -47,7 +47,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Lot {
+struct BatchJob {
     items: BTreeMap<String, Item>,
     first_sent: Duration,
     accepted: Option<Duration>,
@@ -97,7 +97,7 @@
 /// Everything that was asked and answered so far, and the rules that it broke.
 pub struct Checker {
     terms: Terms,
-    lots: BTreeMap<String, Lot>,
+    jobs: BTreeMap<String, BatchJob>,
     /// Lots to be read, the newest last.
     order: Vec<String>,
     changes: Vec<Change>,
@@ -110,7 +110,7 @@
     pub fn new(terms: Terms) -> Self {
         Checker {
             terms,
-            lots: BTreeMap::new(),
+            jobs: BTreeMap::new(),
             order: Vec::new(),
             changes: Vec::new(),
             texts: BTreeMap::new(),
@@ -130,16 +130,16 @@
     /// A lot is sent for the first time.
     pub fn sent(&mut self, now: Duration, id: &str, items: Vec<Item>) {
         let items = items.into_iter().map(|item| (item.id.clone(), item)).collect();
-        self.lots.insert(id.to_owned(), Lot { items, first_sent: now, ..Lot::default() });
+        self.jobs.insert(id.to_owned(), BatchJob { items, first_sent: now, ..BatchJob::default() });
     }
 
     /// A submission was answered; `was_accepted` says whether the lot had its 202 before this one was sent.
     pub fn submitted(&mut self, now: Duration, id: &str, was_accepted: bool, status: u16) {
-        let Some(lot) = self.lots.get_mut(id) else { return };
+        let Some(job) = self.jobs.get_mut(id) else { return };
         match status {
             202 => {
-                if lot.accepted.is_none() {
-                    lot.accepted = Some(now);
+                if job.accepted.is_none() {
+                    job.accepted = Some(now);
                     self.order.push(id.to_owned());
                 }
             }
@@ -154,23 +154,23 @@
 
     /// Whether a lot had its 202.
     pub fn is_accepted(&self, id: &str) -> bool {
-        self.lots.get(id).is_some_and(|lot| lot.accepted.is_some())
+        self.jobs.get(id).is_some_and(|job| job.accepted.is_some())
     }
 
     /// Whether a lot must still be there.
-    fn is_kept(&self, now: Duration, lot: &Lot) -> bool {
-        now < lot.first_sent + self.terms.keep
+    fn is_kept(&self, now: Duration, job: &BatchJob) -> bool {
+        now < job.first_sent + self.terms.keep
     }
 
     /// Accepted lots that must still be there, the newest last.
     pub fn readable(&self, now: Duration) -> Vec<&str> {
-        let is_kept = |id: &&String| self.lots.get(*id).is_some_and(|lot| self.is_kept(now, lot));
+        let is_kept = |id: &&String| self.jobs.get(*id).is_some_and(|job| self.is_kept(now, job));
         self.order.iter().filter(is_kept).map(String::as_str).collect()
     }
 
     /// Whether a lot must still be there at a time.
     pub fn is_owed(&self, at: Duration, id: &str) -> bool {
-        self.lots.get(id).is_some_and(|lot| lot.accepted.is_some() && self.is_kept(at, lot))
+        self.jobs.get(id).is_some_and(|job| job.accepted.is_some() && self.is_kept(at, job))
     }
 
     /// Readable lots that have neither all their results nor an end.
@@ -180,34 +180,34 @@
 
     /// Whether all results of a lot are known, or its end was asked for.
     pub fn is_finished(&self, id: &str) -> bool {
-        self.lots.get(id).is_some_and(|lot| lot.is_end_asked || lot.outputs.len() == lot.items.len())
+        self.jobs.get(id).is_some_and(|job| job.is_end_asked || job.outputs.len() == job.items.len())
     }
 
     /// How many results of a lot are known.
     pub fn known(&self, id: &str) -> usize {
-        self.lots.get(id).map_or(0, |lot| lot.outputs.len())
+        self.jobs.get(id).map_or(0, |job| job.outputs.len())
     }
 
     /// An item of a lot by a draw; none where the lot is not known.
     pub fn item(&self, id: &str, draw: usize) -> Option<String> {
-        let lot = self.lots.get(id)?;
-        lot.items.keys().nth(draw % lot.items.len().max(1)).cloned()
+        let job = self.jobs.get(id)?;
+        job.items.keys().nth(draw % job.items.len().max(1)).cloned()
     }
 
     /// A read is asked for.
     pub fn read_begins(&self, id: &str) -> Option<ReadBegun> {
-        let lot = self.lots.get(id)?;
+        let job = self.jobs.get(id)?;
         Some(ReadBegun {
-            known: lot.outputs.len(),
-            is_accepted: lot.accepted.is_some(),
-            is_ended: lot.is_ended,
-            bodiless: lot.bodiless.clone(),
+            known: job.outputs.len(),
+            is_accepted: job.accepted.is_some(),
+            is_ended: job.is_ended,
+            bodiless: job.bodiless.clone(),
         })
     }
 
     /// A read was answered with something else than a page.
     pub fn read_refused(&mut self, now: Duration, id: &str, begun: &ReadBegun, status: u16) {
-        let is_kept = self.lots.get(id).is_some_and(|lot| self.is_kept(now, lot));
+        let is_kept = self.jobs.get(id).is_some_and(|job| self.is_kept(now, job));
         match status {
             404 if begun.is_accepted && is_kept => {
                 self.violated(now, format!("lot {id}: accepted, and a read was answered 404"));
@@ -220,22 +220,22 @@
     /// A read was answered with a page.
     pub fn read(&mut self, now: Duration, id: &str, since: usize, begun: &ReadBegun, page: &Page) {
         let retain = self.terms.retain;
-        let Some(lot) = self.lots.get_mut(id) else { return };
-        let found = page_faults(lot, now, retain, since, begun, page);
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let found = page_faults(job, now, retain, since, begun, page);
         found.into_iter().for_each(|what| self.violated(now, format!("lot {id}: {what}")));
     }
 
     /// An item's body is asked for.
     pub fn body_begins(&self, id: &str, item: &str) -> Option<BodyBegun> {
-        let lot = self.lots.get(id)?;
-        Some(BodyBegun { is_accepted: lot.accepted.is_some(), is_listed: lot.places.contains_key(item) })
+        let job = self.jobs.get(id)?;
+        Some(BodyBegun { is_accepted: job.accepted.is_some(), is_listed: job.places.contains_key(item) })
     }
 
     /// An item's body was answered.
     pub fn body(&mut self, now: Duration, id: &str, item: &str, begun: &BodyBegun, status: u16, body: &[u8]) {
-        let is_kept = self.lots.get(id).is_some_and(|lot| self.is_kept(now, lot));
-        let Some(lot) = self.lots.get_mut(id) else { return };
-        let Some(sent) = lot.items.get(item) else { return };
+        let is_kept = self.jobs.get(id).is_some_and(|job| self.is_kept(now, job));
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(sent) = job.items.get(item) else { return };
         match status {
             200 if sent.body != body => {
                 let (got, sent) = (body.len(), sent.body.len());
@@ -244,8 +244,8 @@
             200 if begun.is_listed => {
                 self.violated(now, format!("lot {id}: item {item}: its body came after its result was read"));
             }
-            404 if begun.is_accepted && is_kept && !lot.is_end_asked => {
-                lot.bodiless.insert(item.to_owned());
+            404 if begun.is_accepted && is_kept && !job.is_end_asked => {
+                job.bodiless.insert(item.to_owned());
             }
             _ => {}
         }
@@ -253,17 +253,17 @@
 
     /// An end is asked for.
     pub fn end_begins(&mut self, id: &str) {
-        if let Some(lot) = self.lots.get_mut(id) {
-            lot.is_end_asked = true;
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.is_end_asked = true;
         }
     }
 
     /// An end was answered.
     pub fn ended(&mut self, now: Duration, id: &str, status: u16) {
-        let is_kept = self.lots.get(id).is_some_and(|lot| self.is_kept(now, lot));
-        match (status, self.lots.get_mut(id)) {
-            (200, Some(lot)) => lot.is_ended = true,
-            (404, Some(lot)) if lot.accepted.is_some() && is_kept => {
+        let is_kept = self.jobs.get(id).is_some_and(|job| self.is_kept(now, job));
+        match (status, self.jobs.get_mut(id)) {
+            (200, Some(job)) => job.is_ended = true,
+            (404, Some(job)) if job.accepted.is_some() && is_kept => {
                 self.violated(now, format!("lot {id}: accepted, and its end was answered 404"));
             }
             _ => {}
@@ -308,13 +308,13 @@
 
     /// Counts for the closing lines: lots accepted, and results read.
     pub fn counts(&self) -> (usize, usize) {
-        (self.order.len(), self.lots.values().map(|lot| lot.outputs.len()).sum())
+        (self.order.len(), self.jobs.values().map(|job| job.outputs.len()).sum())
     }
 }
 
 /// What is wrong with a page; what it tells for the first time is kept.
 fn page_faults(
-    lot: &mut Lot,
+    job: &mut BatchJob,
     now: Duration,
     retain: Duration,
     since: usize,
@@ -323,8 +323,8 @@
 ) -> Vec<String> {
     let mut faults = Vec::new();
     let count = since + page.outputs.len();
-    if page.grand_total != lot.items.len() as u64 {
-        faults.push(format!("a total of {}, {} items were sent", page.grand_total, lot.items.len()));
+    if page.grand_total != job.items.len() as u64 {
+        faults.push(format!("a total of {}, {} items were sent", page.grand_total, job.items.len()));
     }
     if page.next_token != count as u64 {
         faults.push(format!("from {since}, {} results, and next {}", page.outputs.len(), page.next_token));
@@ -333,15 +333,15 @@
         faults.push(format!("{} results were read before, now {count}", begun.known));
     }
     for (position, output) in (since..).zip(&page.outputs) {
-        faults.extend(output_fault(lot, now, retain, position, output));
+        faults.extend(output_fault(job, now, retain, position, output));
     }
-    let owed = begun.bodiless.iter().filter(|_| !lot.is_end_asked);
-    for item in owed.filter(|item| !lot.places.contains_key(*item)) {
+    let owed = begun.bodiless.iter().filter(|_| !job.is_end_asked);
+    for item in owed.filter(|item| !job.places.contains_key(*item)) {
         faults.push(format!("item {item}: no body any more, and no result"));
     }
-    lot.bodiless.retain(|item| !begun.bodiless.contains(item));
+    job.bodiless.retain(|item| !begun.bodiless.contains(item));
     if begun.is_ended {
-        let first = *lot.final_count.get_or_insert(count);
+        let first = *job.final_count.get_or_insert(count);
         if first != count {
             faults.push(format!("ended, and its results went from {first} to {count}"));
         }
@@ -351,31 +351,31 @@
 
 /// What is wrong with one result of a page.
 fn output_fault(
-    lot: &mut Lot,
+    job: &mut BatchJob,
     now: Duration,
     retain: Duration,
     position: usize,
     output: &Output,
 ) -> Option<String> {
     let Output { id, state, prompt } = output;
-    let Some(item) = lot.items.get(id) else {
+    let Some(item) = job.items.get(id) else {
         return Some(format!("position {position}: an item {id:?} that was not sent"));
     };
     let is_complete = state == "complete";
     let listed = Listed { id: id.clone(), is_complete, text_hash: xxh3_64(prompt.as_bytes()) };
-    if let Some(before) = lot.outputs.get(position) {
+    if let Some(before) = job.outputs.get(position) {
         return (*before != listed).then(|| format!("position {position}: was {before:?}, now {listed:?}"));
     }
-    if let Some(other) = lot.places.get(id) {
+    if let Some(other) = job.places.get(id) {
         return Some(format!("item {id}: at positions {other} and {position}"));
     }
-    if lot.outputs.len() != position {
-        return Some(format!("position {position}: read before {}", lot.outputs.len()));
+    if job.outputs.len() != position {
+        return Some(format!("position {position}: read before {}", job.outputs.len()));
     }
-    let is_early = now < lot.first_sent + retain;
+    let is_early = now < job.first_sent + retain;
     let is_text_right = !is_complete || listed.text_hash == item.text_hash;
-    lot.places.insert(id.clone(), position);
-    lot.outputs.push(listed);
+    job.places.insert(id.clone(), position);
+    job.outputs.push(listed);
     match &state[..] {
         "complete" if !is_text_right => {
             Some(format!("item {id}: complete with a text of {} bytes that is none of its", prompt.len()))
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -48,7 +48,7 @@
 }
 
 /// A lot ready to be sent, as often as need be.
-struct Lot {
+struct BatchJob {
     id: String,
     host: &'static str,
     body: Vec<u8>,
@@ -60,7 +60,7 @@
     HOSTS[usize::from(id.ends_with('b'))]
 }
 
-fn draw_lot(soak: &Soak, random: &mut SmallRng, id: String) -> Lot {
+fn draw_job(soak: &Soak, random: &mut SmallRng, id: String) -> BatchJob {
     let words = u64::from(soak.options.words_per_token);
     let (mut requests, mut items) = (Vec::new(), Vec::new());
     for n in 0..random.random_range(1..=MOST_ITEMS) {
@@ -82,36 +82,36 @@
         items.push(Item { id: item, body, text_hash: xxh3_64(text.as_bytes()) });
     }
     let body = serde_json::to_vec(&Submission { requests }).unwrap_or_default();
-    Lot { host: host_of(&id), id, body, items }
+    BatchJob { host: host_of(&id), id, body, items }
 }
 
 /// Sends a lot; its status where an answer came.
-async fn send(soak: &Soak, at: SocketAddr, lot: &Lot) -> Option<u16> {
-    let was_accepted = soak.checker.borrow().is_accepted(&lot.id);
+async fn send(soak: &Soak, at: SocketAddr, job: &BatchJob) -> Option<u16> {
+    let was_accepted = soak.checker.borrow().is_accepted(&job.id);
     let fields =
-        [("Host", lot.host), ("X-Rainlug-Attempt-Id", &lot.id), ("Content-Type", "application/json")];
-    let ask = Ask { method: "POST", path: "/batch/lot", fields: &fields, body: &lot.body };
+        [("Host", job.host), ("X-Rainlug-Attempt-Id", &job.id), ("Content-Type", "application/json")];
+    let ask = Ask { method: "POST", path: "/batch/lot", fields: &fields, body: &job.body };
     let status = client::call(at, ask, ANSWER).await.ok().map(|told| told.status);
     soak.count(format!("submit {}", status.map_or("-".to_owned(), |s| s.to_string())));
     if let Some(status) = status {
-        soak.checker.borrow_mut().submitted(soak.now(), &lot.id, was_accepted, status);
+        soak.checker.borrow_mut().submitted(soak.now(), &job.id, was_accepted, status);
     }
     status
 }
 
 /// Sends a lot and closes before the answer is read.
-async fn send_and_leave(at: SocketAddr, lot: &Lot, after: Duration) {
+async fn send_and_leave(at: SocketAddr, job: &BatchJob, after: Duration) {
     let head = format!(
         "POST /batch/lot HTTP/1.1\r\nHost: {}\r\nX-Rainlug-Attempt-Id: {}\r\nContent-Type: application/json\r\n\
          Content-Length: {}\r\n\r\n",
-        lot.host,
-        lot.id,
-        lot.body.len()
+        job.host,
+        job.id,
+        job.body.len()
     );
     let whole = async {
         let mut stream = TcpStream::connect(at).await?;
         stream.write_all(head.as_bytes()).await?;
-        stream.write_all(&lot.body).await?;
+        stream.write_all(&job.body).await?;
         sleep(after).await;
         std::io::Result::Ok(())
     };
@@ -126,23 +126,23 @@
     while soak.stage() <= Stage::Closing {
         number += 1;
         let route = if random.random_bool(0.5) { 'a' } else { 'b' };
-        let lot = draw_lot(&soak, &mut random, format!("s{}-{task}-{number}{route}", soak.seed));
-        soak.checker.borrow_mut().sent(soak.now(), &lot.id, lot.items.clone());
+        let job = draw_job(&soak, &mut random, format!("s{}-{task}-{number}{route}", soak.seed));
+        soak.checker.borrow_mut().sent(soak.now(), &job.id, job.items.clone());
         if random.random_bool(0.1) {
             let at = soak.any_front(&mut random);
-            send_and_leave(at, &lot, Duration::from_millis(random.random_range(0..60))).await;
+            send_and_leave(at, &job, Duration::from_millis(random.random_range(0..60))).await;
             soak.count("answers lost");
         }
-        submit(&soak, &mut random, &lot).await;
+        submit(&soak, &mut random, &job).await;
         sleep(Duration::from_secs_f64(random.random_range(0.0..between))).await;
     }
 }
 
 /// Sends a lot until it is accepted or its tries are over; then now and then again elsewhere.
-async fn submit(soak: &Soak, random: &mut SmallRng, lot: &Lot) {
+async fn submit(soak: &Soak, random: &mut SmallRng, job: &BatchJob) {
     for _ in 0..TRIES {
         let at = soak.any_front(random);
-        if send(soak, at, lot).await == Some(202) {
+        if send(soak, at, job).await == Some(202) {
             break;
         }
         if soak.stage() > Stage::Closing {
@@ -152,7 +152,7 @@
     }
     if random.random_bool(0.2) {
         sleep(Duration::from_millis(random.random_range(0..500))).await;
-        send(soak, soak.any_front(random), lot).await;
+        send(soak, soak.any_front(random), job).await;
     }
 }
 
--- a/crates/soak/src/monitor.rs
+++ b/crates/soak/src/monitor.rs
@@ -93,7 +93,7 @@
 }
 
 /// Reads the figures of all gateways and stores until the run is over.
-pub async fn figures(soak: Rc<Soak>) {
+pub async fn metrics(soak: Rc<Soak>) {
     let mut told = BTreeSet::new();
     while soak.stage() != Stage::Over {
         sleep(FIGURES).await;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -118,7 +118,7 @@
 
 /// Plays the run; whether all was read at its end that had to be.
 async fn play(soak: &Rc<Soak>) -> Result<bool, Error> {
-    let watch = [spawn_local(monitor::processes(soak.clone())), spawn_local(monitor::figures(soak.clone()))];
+    let watch = [spawn_local(monitor::processes(soak.clone())), spawn_local(monitor::metrics(soak.clone()))];
     let count = soak.tier.borrow().hosts.len();
     for index in 0..count {
         soak.tier.borrow_mut().start(index)?;
--- a/crates/tier/src/control.rs
+++ b/crates/tier/src/control.rs
@@ -52,36 +52,36 @@
 }
 
 /// `PUT /v1/workers/ID`
-struct Beat(Worker);
+struct Heartbeat(Worker);
 
-impl Exchange for Beat {
+impl Exchange for Heartbeat {
     type Answer = Answer;
     const METHOD: &'static str = "PUT";
     const PATH: &'static str = "/v1/workers/";
 
     fn read(asked: Asked) -> Result<Self, Answer> {
-        Worker::read(&asked.rest, &asked.body).map(Beat).map_err(|f| refused(400, &f.to_string()))
+        Worker::read(&asked.rest, &asked.body).map(Heartbeat).map_err(|f| refused(400, &f.to_string()))
     }
 
     async fn carry_out(self, node: Rc<Node>) -> Answer {
-        node.call(Call::Beat(self.0)).await
+        node.call(Call::Heartbeat(self.0)).await
     }
 }
 
 /// `DELETE /v1/workers/ID`
-struct Goodbye(String);
+struct Deregister(String);
 
-impl Exchange for Goodbye {
+impl Exchange for Deregister {
     type Answer = Answer;
     const METHOD: &'static str = "DELETE";
     const PATH: &'static str = "/v1/workers/";
 
     fn read(asked: Asked) -> Result<Self, Answer> {
-        Ok(Goodbye(asked.rest))
+        Ok(Deregister(asked.rest))
     }
 
     async fn carry_out(self, node: Rc<Node>) -> Answer {
-        node.call(Call::Goodbye(self.0)).await
+        node.call(Call::Deregister(self.0)).await
     }
 }
 
@@ -173,7 +173,7 @@
     }
 
     async fn carry_out(self, node: Rc<Node>) -> Answer {
-        Answer { body: node.figures().into(), ..Answer::of(200) }
+        Answer { body: node.metrics().into(), ..Answer::of(200) }
     }
 }
 
@@ -195,8 +195,8 @@
 }
 
 const CALLS: [(&str, &str, Handler); 11] = [
-    entry::<Beat>(),
-    entry::<Goodbye>(),
+    entry::<Heartbeat>(),
+    entry::<Deregister>(),
     entry::<Configure>(),
     entry::<Configuration>(),
     entry::<Retire>(),
--- a/crates/tier/src/disk.rs
+++ b/crates/tier/src/disk.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use rainlug_consensus::Records;
-use rainlug_coordinator::{CONTROL, PARTS};
+use rainlug_coordinator::{BATCH_SHARDS, CONTROL};
 use rainlug_wal::{Error, RecordSource, Report, Room, SystemFiles, Wal, Writer};
 use tokio::sync::mpsc;
 
@@ -17,7 +17,7 @@
 pub struct Told {
     /// The identity that the disk had when the log was begun.
     pub disk: u64,
-    pub part: u16,
+    pub shard: u16,
     pub report: Report,
 }
 
@@ -62,10 +62,10 @@
 }
 
 /// The file of a part. One that the disk had under an earlier identity has another name: its thread may still write it.
-fn name(part: u16, renewals: usize) -> String {
+fn name(shard: u16, renewals: usize) -> String {
     match renewals {
-        0 => format!("part-{part}"),
-        _ => format!("part-{part}-{renewals}"),
+        0 => format!("part-{shard}"),
+        _ => format!("part-{shard}-{renewals}"),
     }
 }
 
@@ -122,13 +122,13 @@
         let room = Arc::new(Room::new(capacity));
         let mut disk = Disk { dir: dir.to_owned(), identity, room, writers: BTreeMap::new(), told };
         let mut logs = Vec::new();
-        for part in CONTROL..=PARTS {
-            disk.remove_earlier(part)?;
-            let name = name(part, disk.identity.renewals);
+        for shard in CONTROL..=BATCH_SHARDS {
+            disk.remove_earlier(shard)?;
+            let name = name(shard, disk.identity.renewals);
             if dir.join(&name).exists() {
                 let (wal, records) = Wal::open_in(SystemFiles, disk.room.clone(), dir, &name)?;
-                disk.writers.insert(part, Writer::start(wal, disk.reports(part)));
-                logs.push((part, records));
+                disk.writers.insert(shard, Writer::start(wal, disk.reports(shard)));
+                logs.push((shard, records));
             }
         }
         Ok((disk, logs))
@@ -152,26 +152,26 @@
         // The identity first: nobody counts on parts under an earlier one.
         std::mem::take(&mut self.writers).into_values().for_each(Writer::remove);
         self.identity.renew(id)?;
-        (CONTROL..=PARTS).try_for_each(|part| self.remove_earlier(part))
+        (CONTROL..=BATCH_SHARDS).try_for_each(|shard| self.remove_earlier(shard))
     }
 
     /// Removes what a part had under earlier identities.
-    fn remove_earlier(&self, part: u16) -> Result<(), Error> {
-        (0..self.identity.renewals).try_for_each(|earlier| remove(&self.dir.join(name(part, earlier))))
+    fn remove_earlier(&self, shard: u16) -> Result<(), Error> {
+        (0..self.identity.renewals).try_for_each(|earlier| remove(&self.dir.join(name(shard, earlier))))
     }
 
-    fn reports(&self, part: u16) -> impl Fn(Report) + Send + 'static {
+    fn reports(&self, shard: u16) -> impl Fn(Report) + Send + 'static {
         let (told, disk) = (self.told.clone(), self.id());
         move |report| {
-            let _ = told.send(Told { disk, part, report });
+            let _ = told.send(Told { disk, shard, report });
         }
     }
 
     /// The thread of a part's log; it makes the log if there is none.
-    fn writer(&mut self, part: u16) -> &Writer {
+    fn writer(&mut self, shard: u16) -> &Writer {
         let (dir, room) = (self.dir.clone(), self.room.clone());
-        let (reports, name) = (self.reports(part), name(part, self.identity.renewals));
-        self.writers.entry(part).or_insert_with(|| {
+        let (reports, name) = (self.reports(shard), name(shard, self.identity.renewals));
+        self.writers.entry(shard).or_insert_with(|| {
             let shared = room.clone();
             let open = move || Ok(Wal::open_in(SystemFiles, shared.clone(), &dir, &name)?.0);
             Writer::open(room, open, reports)
@@ -179,13 +179,13 @@
     }
 
     /// Appends records; told through the channel when they are synced.
-    pub fn save(&mut self, part: u16, ticket: u64, records: Vec<Bytes>) {
-        self.writer(part).append(ticket, records);
+    pub fn save(&mut self, shard: u16, ticket: u64, records: Vec<Bytes>) {
+        self.writer(shard).append(ticket, records);
     }
 
     /// Puts records in place of all that are there, or, without the first `implied` of them, behind.
     /// The part's thread encodes them while it writes.
-    pub fn compact(&mut self, part: u16, ticket: u64, records: Records, implied: usize) {
-        self.writer(part).compact(ticket, ReplicaRecords(records), implied);
+    pub fn compact(&mut self, shard: u16, ticket: u64, records: Records, implied: usize) {
+        self.writer(shard).compact(ticket, ReplicaRecords(records), implied);
     }
 }
--- a/crates/tier/src/listings.rs
+++ b/crates/tier/src/listings.rs
@@ -99,7 +99,7 @@
     const COLUMNS: &'static [&'static str] = &["NAME", "ROLE", "ZONE", "STANDING", "FOR", "PEERS", "CONTROL"];
 
     fn of(coordinator: &Coordinator) -> Self {
-        let member = |m: rainlug_coordinator::listing::MemberLine| Member {
+        let member = |m: rainlug_coordinator::listing::MemberListing| Member {
             name: m.name,
             zone: m.zone,
             role: m.role.to_owned(),
@@ -136,7 +136,7 @@
     const COLUMNS: &'static [&'static str] = &["ID", "SERVICE", "ZONE", "ADDRESS", "PHASE", "SLOTS", "CALLS"];
 
     fn of(coordinator: &Coordinator) -> Self {
-        let worker = |w: rainlug_coordinator::listing::WorkerLine| Worker {
+        let worker = |w: rainlug_coordinator::listing::WorkerListing| Worker {
             id: w.id,
             service: w.service,
             zone: w.zone,
@@ -165,13 +165,13 @@
     const COLUMNS: &'static [&'static str] = &["NAME", "ZONE", "PEERS", "STANDING", "RETIRING", "PARTS"];
 
     fn of(coordinator: &Coordinator) -> Self {
-        let store = |s: rainlug_coordinator::listing::StoreLine| Store {
+        let store = |s: rainlug_coordinator::listing::StoreListing| Store {
             name: s.name,
             zone: s.zone,
             peer: text(s.peer),
             standing: s.standing.to_owned(),
             retiring: s.retiring,
-            parts: s.parts,
+            parts: s.shards,
         };
         Stores { stores: coordinator.list_stores().into_iter().map(store).collect() }
     }
@@ -194,14 +194,14 @@
     const COLUMNS: &'static [&'static str] = &["PART", "HOLDS", "LEADER", "TERM", "MEMBERS"];
 
     fn of(coordinator: &Coordinator) -> Self {
-        let part = |p: rainlug_coordinator::listing::PartLine| Part {
+        let part = |p: rainlug_coordinator::listing::ShardListing| Part {
             number: p.number,
             holds: p.holds.to_owned(),
             leader: p.leader,
             members: p.members,
             term: p.term,
         };
-        Parts { parts: coordinator.list_parts().into_iter().map(part).collect() }
+        Parts { parts: coordinator.list_shards().into_iter().map(part).collect() }
     }
 
     fn lines(&self) -> &[Part] {
--- a/crates/tier/src/metrics.rs
+++ b/crates/tier/src/metrics.rs
@@ -30,13 +30,13 @@
 pub async fn start(node: Rc<Node>, ip: IpAddr) {
     let at = SocketAddr::new(ip, PORT);
     match TcpListener::bind(at).await {
-        Ok(listener) => serve(listener, Rc::new(move || node.figures())).await,
+        Ok(listener) => serve(listener, Rc::new(move || node.metrics())).await,
         Err(error) => log::event("metrics", &format!("none at {at}: {error}")),
     }
 }
 
 /// Serves what `figures` tells, for good.
-pub async fn serve(listener: TcpListener, figures: Rc<dyn Fn() -> String>) {
+pub async fn serve(listener: TcpListener, metrics: Rc<dyn Fn() -> String>) {
     let (room, pool) = (Room::of(CALLERS), Pool::within(0, SIZES));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -44,22 +44,22 @@
             continue;
         };
         let Some(seat) = room.seat() else { continue };
-        let (figures, mut link) = (figures.clone(), Link::over(stream, head::request_body, &pool, seat));
+        let (metrics, mut link) = (metrics.clone(), Link::over(stream, head::request_body, &pool, seat));
         spawn_local(async move {
-            let _ = tell(figures.as_ref(), &mut link).await;
+            let _ = tell(metrics.as_ref(), &mut link).await;
         });
     }
 }
 
 /// Answers one request, and ends its connection.
-async fn tell(figures: &dyn Fn() -> String, link: &mut Link) -> Result<(), End> {
+async fn tell(metrics: &dyn Fn() -> String, link: &mut Link) -> Result<(), End> {
     let Piece::Head(head) = timeout(REQUEST, link.next()).await.unwrap_or(Err(End::TimedOut))? else {
         return Err(End::Malformed);
     };
     let is_known =
         head::request(&head, |method, target, _| method == "GET" && target.split('?').next() == Some(PATH))?;
     let told = match is_known {
-        true => Answer { body: figures().into(), ..Answer::of(200) },
+        true => Answer { body: metrics().into(), ..Answer::of(200) },
         false => Answer::of(404),
     };
     timeout(REQUEST, control::answer(link, &told, true)).await.unwrap_or(Err(End::TimedOut))?;
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -142,13 +142,13 @@
             first_boot: settings.first_boot,
             seeds,
             tolerate: settings.tolerate.machines as usize,
-            beat: settings.beat_ms as Time * 1000,
+            heartbeat: settings.beat_ms as Time * 1000,
             disk_bytes: disk_bytes as usize,
             memory_bytes: (settings.limits.memory_mb * 1e6) as usize,
             link_bytes_per_second: settings.limits.link_bytes_per_second(),
             sync_time: settings.bounds.sync_time(),
             relays: mechanisms.contains(Mechanisms::RELAYS),
-            keep_lots: (settings.bounds.status_s * 1e6) as Time + KEEP_SLACK,
+            job_retention: (settings.bounds.status_s * 1e6) as Time + KEEP_SLACK,
             seed: draw(),
         };
         let socket = UdpSocket::bind(peer).await.map_err(|e| Error::Listen(peer, e))?;
@@ -207,7 +207,7 @@
             while let Some(told) = on_disk.recv().await {
                 let is_current = keeps.disk.borrow().as_ref().is_some_and(|disk| disk.id() == told.disk);
                 if is_current {
-                    keeps.disk_told(told.part, told.report);
+                    keeps.disk_told(told.shard, told.report);
                 }
             }
         });
@@ -288,14 +288,14 @@
                 let _ = self.socket.try_send_to(&self.envelope.seal(&bytes), to);
             }
             Effect::Frame { to, head, tail } => self.peers.send(to, head, tail),
-            Effect::Save { part, ticket, records } => {
+            Effect::Save { shard, ticket, records } => {
                 if let Some(disk) = self.disk.borrow_mut().as_mut() {
-                    disk.save(part, ticket, records);
+                    disk.save(shard, ticket, records);
                 }
             }
-            Effect::Rewrite { part, ticket, records, implied } => {
+            Effect::Rewrite { shard, ticket, records, implied } => {
                 if let Some(disk) = self.disk.borrow_mut().as_mut() {
-                    disk.compact(part, ticket, records, implied);
+                    disk.compact(shard, ticket, records, implied);
                 }
             }
             Effect::Renew { disk } => {
@@ -319,25 +319,27 @@
             Effect::Worker(worker) => self.gateway.worker(&worker),
             Effect::Others(count) => self.gateway.others(count),
             Effect::Reports(reports) => self.gateway.reported(&reports),
-            Effect::Run { part, next } => {
-                spawn_local(self.clone().item(part, next));
+            Effect::Run { shard, next } => {
+                spawn_local(self.clone().item(shard, next));
             }
             Effect::Log(what, text) => log::event(what, &text),
         }
     }
 
     /// A part's log is further, or the disk holds it up. That ends nothing: what is not saved is not acknowledged.
-    fn disk_told(self: &Rc<Self>, part: u16, report: Report) {
+    fn disk_told(self: &Rc<Self>, shard: u16, report: Report) {
         match report {
             Report::Done(done) => {
                 if let Some(compaction) = done.compaction {
                     let (length, took) = (done.length, done.took.as_millis());
-                    log::event("disk", &format!("part {part}: {compaction:?}, {length} bytes, {took} ms"));
+                    log::event("disk", &format!("part {shard}: {compaction:?}, {length} bytes, {took} ms"));
                 }
-                self.with("saved", |coordinator, now| coordinator.saved(now, part, done.ticket, done.length));
+                self.with("saved", |coordinator, now| {
+                    coordinator.saved(now, shard, done.ticket, done.length)
+                });
             }
-            Report::Failing(error) => log::error("disk", &format!("part {part} waits: {error}")),
-            Report::Recovered => log::event("disk", &format!("part {part} is written again")),
+            Report::Failing(error) => log::error("disk", &format!("part {shard} waits: {error}")),
+            Report::Recovered => log::event("disk", &format!("part {shard} is written again")),
         }
     }
 
@@ -351,12 +353,12 @@
         answered.await.unwrap_or_else(|_| Answer::of(503))
     }
 
-    async fn item(self: Rc<Self>, part: u16, next: Next) {
+    async fn item(self: Rc<Self>, shard: u16, next: Next) {
         let route = {
             let configuration = self.configuration.borrow();
             configuration.as_ref().and_then(|c| c.routes.iter().find(|r| r.name == next.route).cloned())
         };
-        let (lot, id) = (next.lot.clone(), next.item.id.clone());
+        let (job, id) = (next.job.clone(), next.item.id.clone());
         let (events, end) = match route {
             None => (Vec::new(), RunEnd::NoRoom),
             Some(route) => {
@@ -382,7 +384,7 @@
                 (ran.events, end)
             }
         };
-        self.with("ran", |coordinator, now| coordinator.ran(now, part, &lot, &id, events, end));
+        self.with("ran", |coordinator, now| coordinator.ran(now, shard, &job, &id, events, end));
     }
 
     async fn datagrams(self: Rc<Self>) {
@@ -429,11 +431,11 @@
     }
 
     /// Figures as lines of name and value.
-    pub fn figures(&self) -> String {
-        let mut all = self.coordinator.borrow().figures();
-        all.extend(self.gateway.figures());
+    pub fn metrics(&self) -> String {
+        let mut all = self.coordinator.borrow().metrics();
+        all.extend(self.gateway.metrics());
         let peers = &self.peers;
-        all.extend(self.steps.figures());
+        all.extend(self.steps.metrics());
         all.push(("peer_bytes_sent".to_owned(), peers.sent.get() as f64));
         all.push(("peer_bytes_taken".to_owned(), peers.taken.get() as f64));
         all.push(("peer_frames_dropped".to_owned(), peers.dropped.get() as f64));
@@ -453,26 +455,26 @@
 /// Where the data plane brings calls on batch jobs.
 struct Desk(Rc<Node>);
 
-impl rainlug_gateway::Lots for Desk {
+impl rainlug_gateway::BatchApi for Desk {
     fn submit(&self, route: Rc<Route>, id: String, body: Bytes) -> Replying {
-        let call = Call::Submit { lot: id, route: route.name.clone(), body };
+        let call = Call::Submit { job: id, route: route.name.clone(), body };
         let node = self.0.clone();
         Box::pin(async move { reply(node.call(call).await) })
     }
 
     fn read(&self, id: String, since_item: u64, wait_ms: u64) -> Replying {
-        let call = Call::Read { lot: id, since: since_item, wait: wait_ms as Time * 1000 };
+        let call = Call::Read { job: id, since: since_item, wait: wait_ms as Time * 1000 };
         let node = self.0.clone();
         Box::pin(async move { reply(node.call(call).await) })
     }
 
     fn item(&self, id: String, item: String) -> Replying {
         let node = self.0.clone();
-        Box::pin(async move { reply(node.call(Call::Body { lot: id, item }).await) })
+        Box::pin(async move { reply(node.call(Call::Body { job: id, item }).await) })
     }
 
     fn end(&self, id: String) -> Replying {
         let node = self.0.clone();
-        Box::pin(async move { reply(node.call(Call::End { lot: id }).await) })
+        Box::pin(async move { reply(node.call(Call::End { job: id }).await) })
     }
 }
--- a/crates/tier/src/step_times.rs
+++ b/crates/tier/src/step_times.rs
@@ -28,7 +28,7 @@
     }
 
     /// Figures as (name, value).
-    pub fn figures(&self) -> Vec<(String, f64)> {
+    pub fn metrics(&self) -> Vec<(String, f64)> {
         vec![
             ("step_longest_ms".to_owned(), self.longest.get().as_secs_f64() * 1000.0),
             ("steps_long".to_owned(), self.long.get() as f64),
--- a/crates/tier/tests/disk.rs
+++ b/crates/tier/tests/disk.rs
@@ -20,8 +20,8 @@
     disk.save(1, 2, vec![Bytes::from("b")]);
     loop {
         match reports.blocking_recv() {
-            Some(Told { disk: 7, part: 1, report: Report::Done(done) }) if done.ticket == 2 => break,
-            Some(Told { disk: 7, part: 1, report: Report::Done(_) }) => {}
+            Some(Told { disk: 7, shard: 1, report: Report::Done(done) }) if done.ticket == 2 => break,
+            Some(Told { disk: 7, shard: 1, report: Report::Done(_) }) => {}
             other => panic!("{other:?}"),
         }
     }
@@ -64,7 +64,7 @@
     disk.renew(8).unwrap();
     assert_eq!(disk.id(), 8);
     disk.save(1, 1, vec![Bytes::from("later")]);
-    assert!(matches!(reports.blocking_recv(), Some(Told { disk: 8, part: 1, .. })));
+    assert!(matches!(reports.blocking_recv(), Some(Told { disk: 8, shard: 1, .. })));
     drop(disk);
     let (told, _reports) = mpsc::unbounded_channel();
     let (disk, logs) = Disk::open(dir.path(), CAPACITY, 9, told).unwrap();
--- a/crates/tier/tests/local.rs
+++ b/crates/tier/tests/local.rs
@@ -130,7 +130,7 @@
     }
 }
 
-async fn lot(end: Instant, at: SocketAddr) -> Vec<String> {
+async fn job(end: Instant, at: SocketAddr) -> Vec<String> {
     let at = at.to_string();
     let text = operator(end, &["lot", "lot1", "--at", &at, "--host", HOST, "--wait-s", "20"]).await;
     let mut results: Vec<String> = text.lines().skip(1).map(str::to_owned).collect();
@@ -184,13 +184,13 @@
     let fields = [("Host", HOST), ("X-Rainlug-Attempt-Id", "lot1"), ("Content-Type", "application/json")];
     let ask = Ask { method: "POST", path: "/batch/lot1", fields: &fields, body: LOT.as_bytes() };
     until("a batch job", end, &fronts, ask, |told| told.status == 202).await;
-    let results = lot(end, fronts[2]).await;
+    let results = job(end, fronts[2]).await;
     assert!(results.len() == 3 && results.iter().all(|line| line.contains("complete")), "{results:?}");
 
     // Who leads the configuration's part is killed, and a store.
     let at: Vec<String> = controls.iter().map(SocketAddr::to_string).collect();
-    let parts = operator(end, &["parts", "--at", &at[0]]).await;
-    let leader = parts.lines().nth(1).and_then(|line| line.split_whitespace().nth(2)).unwrap_or("-");
+    let shards = operator(end, &["parts", "--at", &at[0]]).await;
+    let leader = shards.lines().nth(1).and_then(|line| line.split_whitespace().nth(2)).unwrap_or("-");
     let leader = if leader == "-" { "gateway-1" } else { leader };
     running.kill(leader);
     running.kill("store-1");
@@ -198,7 +198,7 @@
     for (n, at) in left.iter().map(|n| fronts[*n]).enumerate() {
         request(end, &[at], &format!("r{}", n + 2)).await;
     }
-    assert_eq!(lot(end, fronts[left[0]]).await, results);
+    assert_eq!(job(end, fronts[left[0]]).await, results);
 
     let second = dir.path().join("second.json");
     std::fs::write(&second, CONFIGURATION.replace("\"version\": 1", "\"version\": 3")).unwrap();
