--- a/crates/coordinator/tests/long_day.rs
+++ b/crates/coordinator/tests/long_day.rs
@@ -1,6 +1,9 @@
 //! A part whose state has grown over a long day. Steps take time here, by the bytes that they allocate; so a step that handles the
 //! whole state at once keeps its process from hearing anything for longer than an election lasts.
 
+// Counting allocations takes an allocator of its own.
+#![allow(unsafe_code)]
+
 mod common;
 
 use std::alloc::{GlobalAlloc, Layout, System};
--- a/crates/wal/tests/failed_write.rs
+++ b/crates/wal/tests/failed_write.rs
@@ -1,6 +1,9 @@
 //! An append that the disk refuses. Alone in its file: it exchanges the file behind a descriptor, which no other thread may
 //! disturb.
 
+// A descriptor is closed under the log's feet to make its write fail.
+#![allow(unsafe_code)]
+
 use std::fs::{self, File, OpenOptions};
 use std::os::fd::{FromRawFd, IntoRawFd, OwnedFd, RawFd};
 use std::path::Path;
