--- /dev/null
+++ b/crates/batch/tests/format.rs
@@ -0,0 +1,151 @@
+//! The bytes of batch jobs, pinned: commands, the pieces of a register's snapshot and a ledger's snapshot; and that committed
+//! bytes are read.
+
+mod common;
+#[path = "../../../tests/common/fixture.rs"]
+mod fixture;
+
+use bytes::Bytes;
+use common::{DUE, ROUTE, abandon, end, item, list, pieces, read, restore, submit, submit_within};
+use rainlug::SECOND;
+use rainlug_batch::{Command, Item, Ledger, OpenLot, Register, ReportNumber, State, StoredText};
+
+/// An output as it is stored where it is long enough to be compressed.
+const LONG_OUTPUT: &str = "the same words again and again, ";
+
+fn reserve(lot: &str, part: u16, tokens: u64) -> Command {
+    let (route, lot) = (ROUTE.to_owned(), lot.to_owned());
+    Command::Reserve { route, lot, part, tokens, most: 1000, at: 3 * SECOND }
+}
+
+fn settle(part: u16, open: &[(&str, u64)]) -> Command {
+    let open = open.iter().map(|(lot, tokens)| OpenLot { lot: (*lot).to_owned(), tokens: *tokens }).collect();
+    let number = ReportNumber { term: 7, sequence: 9 };
+    Command::Settle { route: ROUTE.to_owned(), part, number, at: 4 * SECOND, open }
+}
+
+fn list_stored(lot: &str, item: &str, state: State, text: StoredText) -> Command {
+    Command::List { lot: lot.to_owned(), item: item.to_owned(), state, text }
+}
+
+/// A command of every kind, and the ways in which parts of them can be empty or full.
+fn commands() -> Vec<(&'static str, Command)> {
+    let bare = Item { headers: vec![], body: Bytes::new(), path: String::new(), ..item("bare", 0) };
+    let full = Item { body: (0..=255).collect(), token_count: u64::MAX, ..item("full-ä", 1) };
+    let long = StoredText::new(LONG_OUTPUT.repeat(20).as_bytes());
+    vec![
+        ("submit", submit("job", &["a", "b", "c"])),
+        ("submit", submit_within("other", 500, DUE, vec![bare, full])),
+        ("submit", submit("nothing", &[])),
+        ("list", list("job", "a", "out")),
+        ("list", list_stored("job", "b", State::Complete, long)),
+        ("list", list_stored("job", "c", State::Complete, StoredText::plain(b"plain"))),
+        ("list", abandon("other", "bare")),
+        ("end", end("other")),
+        ("forget", Command::Forget { before: 5 * SECOND }),
+        ("reserve", reserve("job", 2, 30)),
+        ("settle", settle(2, &[("job", 20), ("other", 1)])),
+        ("settle", settle(3, &[])),
+    ]
+}
+
+fn encoded_commands() -> fixture::Lines {
+    commands().iter().map(|(kind, command)| ((*kind).to_owned(), command.encode())).collect()
+}
+
+/// Three batch jobs: one is all listed, one is open in part, one was ended.
+fn register() -> Register {
+    let mut register = Register::default();
+    let text = LONG_OUTPUT.repeat(20);
+    let commands = [
+        submit("complete", &["a", "b"]),
+        submit("open", &["c", "d", "e"]),
+        submit("ended", &["f", "g"]),
+        list("complete", "a", "out of a"),
+        list("complete", "b", &text),
+        list("open", "d", "out of d"),
+        abandon("ended", "g"),
+        end("ended"),
+    ];
+    for command in &commands {
+        register.apply(command);
+    }
+    register
+}
+
+/// A batch job that is too long for one piece.
+fn long_register() -> Register {
+    let mut register = Register::default();
+    let items = (0..2).map(|id| Item { body: vec![b'b'; 40_000].into(), ..item(&format!("{id}"), 1) });
+    register.apply(&submit_within("long", 0, DUE, items.collect()));
+    register
+}
+
+fn ledger() -> Ledger {
+    let mut ledger = Ledger::default();
+    for command in [reserve("job", 2, 30), reserve("late", 2, 40), reserve("far", 4, 500)] {
+        ledger.apply(&command);
+    }
+    ledger.apply(&settle(2, &[("job", 20)]));
+    ledger
+}
+
+#[test]
+fn given_a_command_of_every_kind_then_its_bytes_are_the_committed_ones_and_are_read_again() {
+    let committed = fixture::pin("commands", &encoded_commands());
+    for ((_, bytes), (kind, command)) in committed.iter().zip(commands()) {
+        assert_eq!(Command::decode(bytes), Ok(command), "{kind}");
+        assert!(Command::decode(&bytes.slice(..bytes.len() - 1)).is_err(), "{kind} without its end");
+    }
+}
+
+#[test]
+fn given_texts_that_are_stored_then_their_bytes_are_the_committed_ones_and_are_read_again() {
+    let texts = ["".to_owned(), "short".to_owned(), LONG_OUTPUT.repeat(20)];
+    let stored =
+        |text: &String| ("stored text".to_owned(), StoredText::new(text.as_bytes()).stored().clone());
+    let committed = fixture::pin("texts", &texts.iter().map(stored).collect::<Vec<_>>());
+    for ((_, bytes), text) in committed.into_iter().zip(texts) {
+        let stored = StoredText::from_stored(bytes).unwrap();
+        assert_eq!(stored.text().unwrap(), text.as_bytes());
+    }
+}
+
+#[test]
+fn given_a_register_then_its_pieces_are_the_committed_ones_and_make_the_same_register() {
+    let made = pieces(&register()).into_iter().map(|piece| ("piece".to_owned(), piece));
+    let committed = fixture::pin("register", &made.collect::<Vec<_>>());
+    let restored = restore(&fixture::of_kind(&committed, "piece")).unwrap();
+    let complete = read(&restored, "complete", 0).unwrap();
+    assert_eq!((complete.grand_total, complete.next_token), (2, 2));
+    assert_eq!(complete.outputs[0].prompt, "out of a");
+    assert_eq!(complete.outputs[1].prompt, LONG_OUTPUT.repeat(20));
+    assert_eq!(read(&restored, "open", 0).unwrap().outputs[0].id, "d");
+    assert_eq!(read(&restored, "open", 0).unwrap().grand_total, 3);
+    let ended = read(&restored, "ended", 0).unwrap();
+    assert_eq!(ended.outputs[0].state, "abandoned");
+    assert_eq!(restored.totals(), register().totals());
+    assert_eq!(pieces(&restored), pieces(&register()));
+}
+
+#[test]
+fn given_a_register_of_several_pieces_then_each_begins_and_ends_as_committed() {
+    // The bodies between are all one letter.
+    let edges = |piece: Bytes| {
+        let end = piece.len().saturating_sub(200);
+        let length = ("length".to_owned(), Bytes::copy_from_slice(&(piece.len() as u32).to_le_bytes()));
+        let start = ("start".to_owned(), piece.slice(..piece.len().min(200)));
+        [length, start, ("end".to_owned(), piece.slice(end..))]
+    };
+    let made: fixture::Lines = pieces(&long_register()).into_iter().flat_map(edges).collect();
+    assert_eq!(made.len(), 3 * 3, "a header and two pieces");
+    fixture::pin("long_register", &made);
+}
+
+#[test]
+fn given_a_ledger_then_its_snapshot_is_the_committed_one_and_is_read_again() {
+    let committed = fixture::pin("ledger", &[("ledger".to_owned(), ledger().snapshot())]);
+    let restored = Ledger::restore(&committed[0].1).unwrap();
+    assert_eq!(restored.tokens(ROUTE), 20 + 40 + 500);
+    assert_eq!(restored.snapshot(), ledger().snapshot());
+}
