--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -90,7 +90,7 @@
 const HARD_STATE: u8 = 1;
 
 /// The code of a message's body, behind receiver, sender and term.
-fn body_code(bytes: &[u8]) -> u8 {
+pub fn body_code(bytes: &[u8]) -> u8 {
     let length = |at: usize| usize::from(u16::from_le_bytes([bytes[at], bytes[at + 1]]));
     let zone_at = 18 + length(16);
     let address_at = zone_at + 2 + length(zone_at);
@@ -98,6 +98,13 @@
     bytes[term_at + 8]
 }
 
+/// All that was sent and all that disks were to keep, in order.
+#[derive(Default)]
+pub struct Trace {
+    pub messages: Vec<Bytes>,
+    pub records: Vec<Bytes>,
+}
+
 enum Event {
     Deliver { to: MemberId, bytes: Bytes },
     Synced { node: MemberId, life: u64, writes: usize },
@@ -158,6 +165,8 @@
     /// Messages to this member are kept, to be delivered again.
     pub recording: Option<MemberId>,
     pub recorded: Vec<Bytes>,
+    /// Kept where there is one.
+    pub trace: Option<Trace>,
 }
 
 pub fn encode(applied: &[(Index, u64)]) -> Bytes {
@@ -197,6 +206,7 @@
             traffic: BTreeMap::new(),
             recording: None,
             recorded: vec![],
+            trace: None,
         };
         for &id in founding {
             world.add(id, members(founding));
@@ -425,6 +435,11 @@
                 replica.snapshot(now, Arc::new(source));
             }
             let output = replica.take();
+            if let Some(trace) = &mut self.trace {
+                trace.messages.extend(output.messages.iter().map(|(_, bytes)| bytes.clone()));
+                trace.records.extend(output.rewrite.iter().flat_map(|rewrite| rewrite.records.iter()));
+                trace.records.extend(output.save.iter().map(|(_, record)| record.clone()));
+            }
             let mut wrong = vec![];
             if is_more_than_bounded(&output) {
                 wrong.push(format!("{id} hands out more than the bound"));
--- /dev/null
+++ b/crates/consensus/tests/format.rs
@@ -0,0 +1,277 @@
+//! The bytes of a group, pinned: messages between replicas, and records on their disks, each as replicas of a fixed seed make
+//! them; and that replicas read committed ones.
+
+mod common;
+#[path = "../../../tests/common/fixture.rs"]
+mod fixture;
+
+use std::net::{Ipv6Addr, SocketAddr, SocketAddrV6};
+use std::sync::Arc;
+
+use bytes::Bytes;
+use common::{MILLIS, SECOND, Trace, World, body_code, encode, member, members, settings};
+use rainlug_consensus::{Index, Member, MemberId, Output, Replica, Restore, Time, WholeState};
+
+const GROUP: [MemberId; 3] = [1, 2, 3];
+/// Who joins it later.
+const NEWCOMER: MemberId = 4;
+/// Of each kind, so many different messages or records are pinned.
+const OF_EACH_KIND: usize = 6;
+/// How long a story goes on after each of its events.
+const PAUSE: Time = SECOND;
+
+const MESSAGE_KINDS: [&str; 7] =
+    ["RequestVote", "Vote", "AppendEntries", "Appended", "Rejected", "InstallSnapshot", "SnapshotWanted"];
+/// By code less one; there is none of the code 3.
+const RECORD_KINDS: [&str; 7] = ["HardState", "Entry", "", "Settled", "Snapshot", "Piece", "VoteFloor"];
+
+fn message_line(bytes: &Bytes) -> (String, Bytes) {
+    (MESSAGE_KINDS[usize::from(body_code(bytes)) - 1].to_owned(), bytes.clone())
+}
+
+fn record_line(bytes: &Bytes) -> (String, Bytes) {
+    (RECORD_KINDS[usize::from(bytes[0]) - 1].to_owned(), bytes.clone())
+}
+
+fn propose(world: &mut World, count: usize) {
+    for _ in 0..count {
+        let leader = world.elect();
+        world.propose(leader, 40);
+        world.run_for(20 * MILLIS);
+    }
+}
+
+/// A leader that is cut off has entries that nobody else gets; then it is back, and its log is made like the others'.
+fn replace_the_leader(world: &mut World) {
+    let old = world.elect();
+    world.isolate(old);
+    world.propose(old, 30);
+    world.propose(old, 31);
+    world.run_until(10 * SECOND, |world| world.leader().is_some_and(|leader| leader != old));
+    propose(world, 3);
+    world.cuts.clear();
+    world.run_for(PAUSE);
+}
+
+/// A follower is away until what it lacks is only in a snapshot; then it is back.
+fn leave_a_follower_behind(world: &mut World) {
+    let leader = world.elect();
+    let away = GROUP.into_iter().find(|id| *id != leader).expect("a follower");
+    world.power_off(away);
+    propose(world, 120);
+    world.start(away);
+    world.run_for(PAUSE);
+}
+
+/// A fourth member is taken in, and one of the first goes.
+fn change_the_group(world: &mut World) {
+    let leader = world.elect();
+    world.recording = Some(NEWCOMER);
+    world.add(NEWCOMER, vec![]);
+    world.change(leader, members(&[1, 2, 3, 4])).expect("it joins");
+    world.run_for(PAUSE);
+    let gone = GROUP.into_iter().find(|id| *id != leader).expect("a follower");
+    let rest: Vec<MemberId> = [1, 2, 3, 4].into_iter().filter(|id| *id != gone).collect();
+    world.change(leader, members(&rest)).expect("it goes");
+    world.run_for(PAUSE);
+    propose(world, 3);
+}
+
+/// All that the members of a group say and keep over the events of its life.
+fn story() -> (World, Trace) {
+    let mut world = World::new(7, &GROUP, settings(2));
+    world.trace = Some(Trace::default());
+    propose(&mut world, 3);
+    replace_the_leader(&mut world);
+    leave_a_follower_behind(&mut world);
+    change_the_group(&mut world);
+    world.sound();
+    let trace = world.trace.take().expect("it was kept");
+    (world, trace)
+}
+
+/// A replica with a disk that saves at once, and a state machine that keeps what it is handed.
+struct Node {
+    replica: Replica,
+    disk: Vec<Bytes>,
+    /// All that the disk ever was told to keep.
+    told: Vec<Bytes>,
+    state: Vec<u8>,
+    committed: Vec<(Index, Bytes)>,
+}
+
+impl Node {
+    fn new(replica: Replica) -> Self {
+        Node { replica, disk: vec![], told: vec![], state: vec![], committed: vec![] }
+    }
+
+    fn recover(me: Member, disk: &[Bytes]) -> Self {
+        Node::new(Replica::recover(me, vec![], settings(1), disk, 1, 0).expect("records of a replica"))
+    }
+
+    /// Carries out all that its replica wants; messages are dropped.
+    fn carry_out(&mut self, now: Time) {
+        for _ in 0..100 {
+            let output = self.replica.take();
+            self.keep(&output, now);
+            for step in output.restore {
+                match step {
+                    Restore::Begin => self.state.clear(),
+                    Restore::Piece(piece) => self.state.extend_from_slice(&piece),
+                    Restore::Abandon | Restore::Finish(_) => {}
+                }
+            }
+            self.committed.extend(output.committed);
+        }
+    }
+
+    fn keep(&mut self, output: &Output, now: Time) {
+        let mut tickets = vec![];
+        if let Some(rewrite) = &output.rewrite {
+            self.disk = rewrite.records.iter().collect();
+            self.told.extend(rewrite.records.iter());
+            tickets.push(rewrite.ticket);
+        }
+        for (ticket, record) in &output.save {
+            self.disk.push(record.clone());
+            self.told.push(record.clone());
+            tickets.push(*ticket);
+        }
+        if let Some(ticket) = tickets.into_iter().max() {
+            self.replica.saved(now, ticket);
+        }
+    }
+
+    /// Time passes until it leads.
+    fn lead(&mut self, mut now: Time) -> Time {
+        while !self.replica.leads() {
+            now = now.max(self.replica.next());
+            self.replica.due(now);
+            self.carry_out(now);
+        }
+        now
+    }
+
+    /// Its state where the commands are those of the harness.
+    fn whole_state(&self) -> Vec<u8> {
+        let number = |command: &Bytes| u64::from_le_bytes(command[..8].try_into().expect("eight bytes"));
+        let committed: Vec<(Index, u64)> =
+            self.committed.iter().map(|(index, command)| (*index, number(command))).collect();
+        [&self.state[..], &encode(&committed)[..]].concat()
+    }
+}
+
+/// A member alone in its group, with an IPv6 address.
+fn single_member() -> Member {
+    let at = SocketAddr::V6(SocketAddrV6::new(Ipv6Addr::LOCALHOST, 4711, 5, 6));
+    Member { name: "n\u{e4}me".to_owned(), zone: String::new(), at, ..member(9) }
+}
+
+/// A member alone in its group commits commands before and after a snapshot of two pieces.
+fn life_of_a_single_member() -> Node {
+    let me = single_member();
+    let mut node = Node::new(Replica::new(me.clone(), vec![me], settings(1), 1, 0));
+    let now = node.lead(0);
+    for command in ["one", "two", "three"] {
+        node.replica.propose(now, Bytes::from(command)).expect("it leads");
+        node.carry_out(now);
+        if command == "two" {
+            node.replica.snapshot(now, Arc::new(WholeState::new(Bytes::from_static(b"a whole state"), 8)));
+            node.carry_out(now);
+        }
+    }
+    node
+}
+
+/// It starts again and gives up its log: the records that it then keeps.
+fn vacated(disk: &[Bytes]) -> Vec<Bytes> {
+    let mut node = Node::recover(single_member(), disk);
+    node.carry_out(0);
+    assert!(node.replica.vacate(0));
+    node.carry_out(0);
+    node.told
+}
+
+#[test]
+fn given_a_fixed_seed_then_messages_of_each_kind_are_the_committed_ones() {
+    let all = story().1.messages.iter().map(message_line).collect();
+    let committed = fixture::pin("messages", &fixture::first_of_each_kind(all, OF_EACH_KIND));
+    for kind in MESSAGE_KINDS {
+        assert!(!fixture::of_kind(&committed, kind).is_empty(), "no {kind}");
+    }
+}
+
+#[test]
+fn given_a_fixed_seed_then_records_of_each_kind_are_the_committed_ones() {
+    let all = story().1.records.iter().map(record_line).collect();
+    fixture::pin("records", &fixture::first_of_each_kind(all, OF_EACH_KIND));
+}
+
+#[test]
+fn given_a_single_member_then_its_records_are_the_committed_ones_and_it_starts_again_with_them() {
+    let node = life_of_a_single_member();
+    let disk: fixture::Lines = node.disk.iter().map(record_line).collect();
+    let committed = fixture::pin("single_member", &disk);
+
+    let disk: Vec<Bytes> = committed.into_iter().map(|(_, record)| record).collect();
+    let mut again = Node::recover(single_member(), &disk);
+    again.lead(0);
+    assert_eq!(again.replica.members(), (&[single_member()][..], true));
+    assert_eq!(again.state, b"a whole state");
+    assert_eq!(again.committed.iter().map(|(_, command)| &command[..]).collect::<Vec<_>>(), [b"three"]);
+    assert_eq!(again.committed, node.committed[2..], "at the same index");
+}
+
+#[test]
+fn given_a_member_that_gives_up_its_log_then_its_records_are_the_committed_ones() {
+    let made: fixture::Lines = vacated(&life_of_a_single_member().disk).iter().map(record_line).collect();
+    let committed = fixture::pin("vacated", &made);
+    assert!(!fixture::of_kind(&committed, "VoteFloor").is_empty());
+    let disk: Vec<Bytes> = committed.into_iter().map(|(_, record)| record).collect();
+    let again = Node::recover(single_member(), &disk);
+    assert!(again.replica.is_vacant());
+}
+
+#[test]
+fn given_committed_messages_when_a_replica_hears_them_then_it_reads_each() {
+    for (kind, bytes) in fixture::read("messages") {
+        let to = MemberId::from_le_bytes(bytes[..8].try_into().expect("a receiver"));
+        let mut replica = Replica::new(member(to), members(&GROUP), settings(2), 1, 0);
+        assert_eq!(replica.heard(1, &bytes), Ok(()), "{kind}");
+        assert!(replica.heard(1, &bytes.slice(..20)).is_err(), "{kind} without its end");
+    }
+}
+
+#[test]
+fn given_the_committed_messages_to_a_newcomer_when_a_replica_hears_them_then_it_has_the_groups_state() {
+    let (world, _) = story();
+    let made: fixture::Lines = world.recorded.iter().map(message_line).collect();
+    let committed = fixture::pin("newcomer", &made);
+
+    let mut node = Node::new(Replica::new(member(NEWCOMER), vec![], settings(2), 1, 0));
+    for (kind, bytes) in committed {
+        assert_eq!(node.replica.heard(1, &bytes), Ok(()), "{kind}");
+        node.carry_out(1);
+    }
+    assert_eq!(node.replica.term(), world.replica(NEWCOMER).term());
+    assert_eq!(node.replica.members(), world.replica(NEWCOMER).members());
+    assert!(!node.state.is_empty(), "a snapshot came");
+    assert!(!node.committed.is_empty(), "entries came behind it");
+    assert_eq!(node.whole_state(), encode(&world.nodes[&NEWCOMER].applied));
+}
+
+#[test]
+fn given_the_committed_disk_of_a_member_when_it_starts_again_then_it_has_what_it_kept() {
+    let (world, _) = story();
+    let made: fixture::Lines = world.nodes[&NEWCOMER].disk.iter().map(record_line).collect();
+    let committed = fixture::pin("disk", &made);
+
+    let disk: Vec<Bytes> = committed.into_iter().map(|(_, record)| record).collect();
+    let mut node = Node::recover(member(NEWCOMER), &disk);
+    node.carry_out(0);
+    let expected = world.replica(NEWCOMER);
+    assert_eq!(node.replica.term(), expected.term());
+    assert_eq!(node.replica.members(), expected.members());
+    let whole = encode(&world.nodes[&NEWCOMER].applied);
+    assert!(!node.state.is_empty() && whole.starts_with(&node.state));
+}
