--- /dev/null
+++ b/crates/coordinator/tests/format.rs
@@ -0,0 +1,174 @@
+//! The bytes that processes of the tier send one another and agree on, pinned: frames of every kind, requests of every kind,
+//! changes of the configuration's part and its snapshot, the roster; and that committed bytes are read.
+
+mod common;
+#[path = "../../../tests/common/fixture.rs"]
+mod fixture;
+
+use bytes::Bytes;
+use common::{address, configuration};
+use deku::{DekuContainerRead, DekuContainerWrite};
+use rainlug_consensus::Member;
+use rainlug_coordinator::control::{Change, Control, Outcome};
+use rainlug_coordinator::frame::{Head, Place, Request, Seat, join, split};
+use rainlug_coordinator::roster::{Roster, members, seats};
+
+const TAIL: &[u8] = b"what stands behind the head";
+
+fn member(place: usize) -> Member {
+    Member {
+        id: 0x0102_0304_0506_0700 + place as u64,
+        name: format!("storage-{place}"),
+        zone: format!("zone-{place}"),
+        at: address(place),
+    }
+}
+
+fn group(places: &[usize]) -> Vec<Member> {
+    places.iter().map(|place| member(*place)).collect()
+}
+
+fn place(place: usize) -> Place {
+    address(place).into()
+}
+
+fn seat(place: usize) -> Seat {
+    (&member(place)).into()
+}
+
+fn heads() -> Vec<(&'static str, Head)> {
+    let nobody = Place { ip: [0; 4], port: 0 };
+    vec![
+        ("Gossip", Head::Gossip),
+        ("Group", Head::Group { part: 0x0102 }),
+        ("Ask", Head::Ask { nonce: 0x0102_0304_0506_0708, part: 3 }),
+        ("Answer", Head::Answer { nonce: 9, status: 202, retry_ms: 0x0102_0304, json: 1 }),
+        ("Elsewhere", Head::Elsewhere { nonce: 9, proposed: 1, leader: place(4) }),
+        ("Elsewhere", Head::Elsewhere { nonce: 9, proposed: 0, leader: nobody }),
+        ("Relay", Head::Relay { nonce: 9, part: 4, within_ms: 3_000, slack_ms: 200, unclear: 503 }),
+    ]
+}
+
+fn seated() -> Request {
+    let seats = seats(&group(&[4, 5, 6]));
+    Request::Seated { part: 2, term: 3, index: 70, retirements: 1, count: 3, seats }
+}
+
+fn requests() -> Vec<(&'static str, Request)> {
+    let reserve =
+        Request::Reserve { lot: "job-1".into(), route: "lots".into(), part: 2, tokens: 300, most: 1 << 40 };
+    vec![
+        ("Configure", Request::Configure { base: 5 }),
+        ("Configuration", Request::Configuration),
+        ("Retire", Request::Retire { store: "storage-4".into() }),
+        ("Retiring", Request::Retiring { store: "".into() }),
+        ("Join", Request::Join { seat: seat(1) }),
+        ("Shelve", Request::Shelve { seat: seat(4) }),
+        ("Seated", seated()),
+        ("Locate", Request::Locate),
+        ("Submit", Request::Submit { lot: "job-1".into(), route: "lots".into() }),
+        ("Read", Request::Read { lot: "job-ä".into(), since: 7, wait_ms: 30_000 }),
+        ("Body", Request::Body { lot: "job-1".into(), item: "job-1-0".into() }),
+        ("End", Request::End { lot: "job-1".into() }),
+        ("Reserve", reserve),
+        ("Settle", Request::Settle),
+    ]
+}
+
+/// Changes in an order in which each does something: two configurations, stores, groups, a retirement, a disk that is replaced.
+fn changes() -> Vec<(&'static str, Change, Bytes)> {
+    let seated = |part, places: &[usize]| {
+        let seats = seats(&group(places));
+        Change::Seated { part, term: 2, index: 40, retirements: 1, count: seats.len() as u16, seats }
+    };
+    let replaced = Seat { id: 77, ..seat(5) };
+    let mut changes = vec![
+        ("Configure", Change::Configure { base: 0, version: 5 }, configuration(5, "notary")),
+        ("Configure", Change::Configure { base: 5, version: 8 }, configuration(8, "clerk")),
+    ];
+    let rest = [
+        ("Store", Change::Store { seat: seat(4) }),
+        ("Store", Change::Store { seat: seat(5) }),
+        ("Store", Change::Store { seat: seat(6) }),
+        ("Seated", Change::founded(1, &group(&[4, 5, 6]))),
+        ("Retire", Change::Retire { store: "storage-4".into() }),
+        ("Seated", seated(1, &[5, 6])),
+        ("Store", Change::Store { seat: replaced }),
+        ("Fence", Change::Fence { disk: member(4).id }),
+    ];
+    changes.extend(rest.map(|(kind, change)| (kind, change, Bytes::new())));
+    changes
+}
+
+/// The configuration's part after these changes, as bytes.
+fn control(changes: &[Bytes]) -> Control {
+    let mut control = Control::default();
+    for change in changes {
+        assert_eq!(control.apply(change), Ok(Outcome::Done));
+    }
+    control
+}
+
+fn encoded_changes() -> fixture::Lines {
+    let encoded = |(kind, change, tail): (&str, Change, Bytes)| (kind.to_owned(), join(&change, &tail));
+    changes().into_iter().map(encoded).collect()
+}
+
+/// Each head with a tail, as bytes.
+fn with_tail<H: DekuContainerWrite>(heads: &[(&'static str, H)]) -> fixture::Lines {
+    heads.iter().map(|(kind, head)| ((*kind).to_owned(), join(head, TAIL))).collect()
+}
+
+/// Fails unless the committed bytes are those of these heads with a tail, and are read as such.
+#[track_caller]
+fn pin_heads<H>(name: &str, heads: Vec<(&'static str, H)>)
+where
+    H: DekuContainerWrite + for<'a> DekuContainerRead<'a> + PartialEq + std::fmt::Debug,
+{
+    let committed = fixture::pin(name, &with_tail(&heads));
+    for ((_, bytes), (kind, head)) in committed.iter().zip(heads) {
+        assert_eq!(split(bytes), Ok((head, Bytes::from_static(TAIL))), "{kind}");
+    }
+}
+
+#[test]
+fn given_a_head_of_every_kind_then_its_bytes_are_the_committed_ones_and_are_read_again() {
+    pin_heads("heads", heads());
+}
+
+#[test]
+fn given_a_request_of_every_kind_then_its_bytes_are_the_committed_ones_and_are_read_again() {
+    pin_heads("requests", requests());
+}
+
+#[test]
+fn given_changes_of_every_kind_then_their_bytes_are_the_committed_ones_and_are_carried_out() {
+    let committed = fixture::pin("changes", &encoded_changes());
+    let bytes: Vec<Bytes> = committed.into_iter().map(|(_, bytes)| bytes).collect();
+    let control = control(&bytes);
+    assert_eq!((control.version, &control.text), (8, &configuration(8, "clerk")));
+    assert_eq!(control.stores.keys().collect::<Vec<_>>(), ["storage-4", "storage-5", "storage-6"]);
+    assert_eq!((control.stores["storage-4"].retirement, control.retirements()), (1, 1));
+    assert_eq!(control.stores["storage-5"].member.id, 77);
+    assert_eq!(control.groups[&1].founding, group(&[4, 5, 6]));
+    assert_eq!(control.groups[&1].members, group(&[5, 6]));
+    assert!(control.is_fenced(member(4).id) && control.is_fenced(member(5).id));
+}
+
+#[test]
+fn given_the_configurations_part_then_its_snapshot_is_the_committed_one_and_is_restored() {
+    let bytes: Vec<Bytes> = encoded_changes().into_iter().map(|(_, bytes)| bytes).collect();
+    let control = control(&bytes);
+    let committed = fixture::pin("control", &[("snapshot".to_owned(), control.snapshot())]);
+    assert_eq!(Control::restore(&committed[0].1), Ok(control));
+}
+
+#[test]
+fn given_a_roster_then_its_bytes_are_the_committed_ones_and_are_read_again() {
+    let bytes: Vec<Bytes> = encoded_changes().into_iter().map(|(_, bytes)| bytes).collect();
+    let roster = control(&bytes).roster(&group(&[0, 1, 2]));
+    let committed = fixture::pin("roster", &[("roster".to_owned(), roster.encode())]);
+    let read = Roster::decode(&committed[0].1).unwrap();
+    assert_eq!(members(&read.core).unwrap(), group(&[0, 1, 2]));
+    assert_eq!(read, roster);
+}
