--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -104,6 +104,14 @@
     pub has_damaged_disks: bool,
     /// The most bytes that one step has allocated.
     pub largest_step: u64,
+    /// All frames and datagrams that were sent, in order; kept where there is one.
+    pub trace: Option<Trace>,
+}
+
+#[derive(Default)]
+pub struct Trace {
+    pub frames: Vec<Bytes>,
+    pub datagrams: Vec<Bytes>,
 }
 
 /// The time that a step takes, by the bytes that it allocates: what it decodes, copies and encodes.
@@ -156,6 +164,7 @@
             cost: None,
             largest_step: 0,
             has_damaged_disks: false,
+            trace: None,
         };
         (0..core).for_each(|n| {
             fleet.add(true, true, n);
@@ -441,6 +450,9 @@
         for effect in effects {
             match effect {
                 Effect::Datagram { to, bytes } => {
+                    if let Some(trace) = &mut self.trace {
+                        trace.datagrams.push(bytes.clone());
+                    }
                     self.bytes += bytes.len() as u64;
                     let Some(to) = self.place(to).filter(|to| !self.cut.contains(&(at, *to))) else {
                         continue;
@@ -453,6 +465,9 @@
                 }
                 Effect::Frame { to, head, tail } => {
                     let bytes = Bytes::from([&head[..], &tail[..]].concat());
+                    if let Some(trace) = &mut self.trace {
+                        trace.frames.push(bytes.clone());
+                    }
                     self.bytes += bytes.len() as u64;
                     let Some(to) = self.place(to).filter(|to| !self.cut.contains(&(at, *to))) else {
                         continue;
