--- a/crates/batch/tests/format.rs
+++ b/crates/batch/tests/format.rs
@@ -6,26 +6,26 @@
 mod fixture;
 
 use bytes::Bytes;
-use common::{DUE, ROUTE, abandon, end, item, list, pieces, read, restore, submit, submit_within};
+use common::{DUE, ROUTE, abandon, chunks, end, item, list, read, restore, submit, submit_within};
 use rainlug::SECOND;
-use rainlug_batch::{Command, Item, Ledger, OpenLot, Register, ReportNumber, State, StoredText};
+use rainlug_batch::{Command, Item, OpenJob, QuotaLedger, Register, ReportNumber, State, StoredText};
 
 /// An output as it is stored where it is long enough to be compressed.
 const LONG_OUTPUT: &str = "the same words again and again, ";
 
-fn reserve(lot: &str, part: u16, tokens: u64) -> Command {
-    let (route, lot) = (ROUTE.to_owned(), lot.to_owned());
-    Command::Reserve { route, lot, part, tokens, most: 1000, at: 3 * SECOND }
+fn reserve(job: &str, shard: u16, tokens: u64) -> Command {
+    let (route, job) = (ROUTE.to_owned(), job.to_owned());
+    Command::Reserve { route, job, shard, tokens, most: 1000, at: 3 * SECOND }
 }
 
-fn settle(part: u16, open: &[(&str, u64)]) -> Command {
-    let open = open.iter().map(|(lot, tokens)| OpenLot { lot: (*lot).to_owned(), tokens: *tokens }).collect();
+fn settle(shard: u16, open: &[(&str, u64)]) -> Command {
+    let open = open.iter().map(|(job, tokens)| OpenJob { job: (*job).to_owned(), tokens: *tokens }).collect();
     let number = ReportNumber { term: 7, sequence: 9 };
-    Command::Settle { route: ROUTE.to_owned(), part, number, at: 4 * SECOND, open }
+    Command::Settle { route: ROUTE.to_owned(), shard, number, at: 4 * SECOND, open }
 }
 
-fn list_stored(lot: &str, item: &str, state: State, text: StoredText) -> Command {
-    Command::List { lot: lot.to_owned(), item: item.to_owned(), state, text }
+fn list_stored(job: &str, item: &str, state: State, text: StoredText) -> Command {
+    Command::List { job: job.to_owned(), item: item.to_owned(), state, text }
 }
 
 /// A command of every kind, and the ways in which parts of them can be empty or full.
@@ -81,13 +81,13 @@
     register
 }
 
-fn ledger() -> Ledger {
-    let mut ledger = Ledger::default();
+fn quota_ledger() -> QuotaLedger {
+    let mut quota_ledger = QuotaLedger::default();
     for command in [reserve("job", 2, 30), reserve("late", 2, 40), reserve("far", 4, 500)] {
-        ledger.apply(&command);
+        quota_ledger.apply(&command);
     }
-    ledger.apply(&settle(2, &[("job", 20)]));
-    ledger
+    quota_ledger.apply(&settle(2, &[("job", 20)]));
+    quota_ledger
 }
 
 #[test]
@@ -113,7 +113,7 @@
 
 #[test]
 fn given_a_register_then_its_pieces_are_the_committed_ones_and_make_the_same_register() {
-    let made = pieces(&register()).into_iter().map(|piece| ("piece".to_owned(), piece));
+    let made = chunks(&register()).into_iter().map(|chunk| ("piece".to_owned(), chunk));
     let committed = fixture::pin("register", &made.collect::<Vec<_>>());
     let restored = restore(&fixture::of_kind(&committed, "piece")).unwrap();
     let complete = read(&restored, "complete", 0).unwrap();
@@ -125,27 +125,27 @@
     let ended = read(&restored, "ended", 0).unwrap();
     assert_eq!(ended.outputs[0].state, "abandoned");
     assert_eq!(restored.totals(), register().totals());
-    assert_eq!(pieces(&restored), pieces(&register()));
+    assert_eq!(chunks(&restored), chunks(&register()));
 }
 
 #[test]
 fn given_a_register_of_several_pieces_then_each_begins_and_ends_as_committed() {
     // The bodies between are all one letter.
-    let edges = |piece: Bytes| {
-        let end = piece.len().saturating_sub(200);
-        let length = ("length".to_owned(), Bytes::copy_from_slice(&(piece.len() as u32).to_le_bytes()));
-        let start = ("start".to_owned(), piece.slice(..piece.len().min(200)));
-        [length, start, ("end".to_owned(), piece.slice(end..))]
+    let edges = |chunk: Bytes| {
+        let end = chunk.len().saturating_sub(200);
+        let length = ("length".to_owned(), Bytes::copy_from_slice(&(chunk.len() as u32).to_le_bytes()));
+        let start = ("start".to_owned(), chunk.slice(..chunk.len().min(200)));
+        [length, start, ("end".to_owned(), chunk.slice(end..))]
     };
-    let made: fixture::Lines = pieces(&long_register()).into_iter().flat_map(edges).collect();
+    let made: fixture::Lines = chunks(&long_register()).into_iter().flat_map(edges).collect();
     assert_eq!(made.len(), 3 * 3, "a header and two pieces");
     fixture::pin("long_register", &made);
 }
 
 #[test]
 fn given_a_ledger_then_its_snapshot_is_the_committed_one_and_is_read_again() {
-    let committed = fixture::pin("ledger", &[("ledger".to_owned(), ledger().snapshot())]);
-    let restored = Ledger::restore(&committed[0].1).unwrap();
+    let committed = fixture::pin("ledger", &[("ledger".to_owned(), quota_ledger().snapshot())]);
+    let restored = QuotaLedger::restore(&committed[0].1).unwrap();
     assert_eq!(restored.tokens(ROUTE), 20 + 40 + 500);
-    assert_eq!(restored.snapshot(), ledger().snapshot());
+    assert_eq!(restored.snapshot(), quota_ledger().snapshot());
 }
--- a/crates/consensus/tests/format.rs
+++ b/crates/consensus/tests/format.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use common::{MILLIS, SECOND, Trace, World, body_code, encode, member, members, settings};
-use rainlug_consensus::{Index, Member, MemberId, Output, Replica, Restore, Time, WholeState};
+use rainlug_consensus::{InMemoryState, Index, Member, MemberId, Output, Replica, Restore, Time};
 
 const GROUP: [MemberId; 3] = [1, 2, 3];
 /// Who joins it later.
@@ -117,7 +117,7 @@
             for step in output.restore {
                 match step {
                     Restore::Begin => self.state.clear(),
-                    Restore::Piece(piece) => self.state.extend_from_slice(&piece),
+                    Restore::Chunk(chunk) => self.state.extend_from_slice(&chunk),
                     Restore::Abandon | Restore::Finish(_) => {}
                 }
             }
@@ -176,7 +176,7 @@
         node.replica.propose(now, Bytes::from(command)).expect("it leads");
         node.carry_out(now);
         if command == "two" {
-            node.replica.snapshot(now, Arc::new(WholeState::new(Bytes::from_static(b"a whole state"), 8)));
+            node.replica.snapshot(now, Arc::new(InMemoryState::new(Bytes::from_static(b"a whole state"), 8)));
             node.carry_out(now);
         }
     }
--- a/crates/coordinator/tests/format.rs
+++ b/crates/coordinator/tests/format.rs
@@ -10,8 +10,8 @@
 use deku::{DekuContainerRead, DekuContainerWrite};
 use rainlug_consensus::Member;
 use rainlug_coordinator::control::{Change, Control, Outcome};
-use rainlug_coordinator::frame::{Head, Place, Request, Seat, join, split};
-use rainlug_coordinator::roster::{Roster, members, seats};
+use rainlug_coordinator::frame::{Head, MemberRecord, PeerAddress, Request, join, split};
+use rainlug_coordinator::topology::{Topology, members, seats};
 
 const TAIL: &[u8] = b"what stands behind the head";
 
@@ -28,35 +28,35 @@
     places.iter().map(|place| member(*place)).collect()
 }
 
-fn place(place: usize) -> Place {
+fn place(place: usize) -> PeerAddress {
     address(place).into()
 }
 
-fn seat(place: usize) -> Seat {
+fn seat(place: usize) -> MemberRecord {
     (&member(place)).into()
 }
 
 fn heads() -> Vec<(&'static str, Head)> {
-    let nobody = Place { ip: [0; 4], port: 0 };
+    let nobody = PeerAddress { ip: [0; 4], port: 0 };
     vec![
         ("Gossip", Head::Gossip),
-        ("Group", Head::Group { part: 0x0102 }),
-        ("Ask", Head::Ask { nonce: 0x0102_0304_0506_0708, part: 3 }),
+        ("Group", Head::Group { shard: 0x0102 }),
+        ("Ask", Head::Ask { nonce: 0x0102_0304_0506_0708, shard: 3 }),
         ("Answer", Head::Answer { nonce: 9, status: 202, retry_ms: 0x0102_0304, json: 1 }),
         ("Elsewhere", Head::Elsewhere { nonce: 9, proposed: 1, leader: place(4) }),
         ("Elsewhere", Head::Elsewhere { nonce: 9, proposed: 0, leader: nobody }),
-        ("Relay", Head::Relay { nonce: 9, part: 4, within_ms: 3_000, slack_ms: 200, unclear: 503 }),
+        ("Relay", Head::Relay { nonce: 9, shard: 4, within_ms: 3_000, slack_ms: 200, unclear: 503 }),
     ]
 }
 
 fn seated() -> Request {
     let seats = seats(&group(&[4, 5, 6]));
-    Request::Seated { part: 2, term: 3, index: 70, retirements: 1, count: 3, seats }
+    Request::Seated { shard: 2, term: 3, index: 70, retirements: 1, count: 3, seats }
 }
 
 fn requests() -> Vec<(&'static str, Request)> {
     let reserve =
-        Request::Reserve { lot: "job-1".into(), route: "lots".into(), part: 2, tokens: 300, most: 1 << 40 };
+        Request::Reserve { job: "job-1".into(), route: "lots".into(), shard: 2, tokens: 300, most: 1 << 40 };
     vec![
         ("Configure", Request::Configure { base: 5 }),
         ("Configuration", Request::Configuration),
@@ -66,10 +66,10 @@
         ("Shelve", Request::Shelve { seat: seat(4) }),
         ("Seated", seated()),
         ("Locate", Request::Locate),
-        ("Submit", Request::Submit { lot: "job-1".into(), route: "lots".into() }),
-        ("Read", Request::Read { lot: "job-ä".into(), since: 7, wait_ms: 30_000 }),
-        ("Body", Request::Body { lot: "job-1".into(), item: "job-1-0".into() }),
-        ("End", Request::End { lot: "job-1".into() }),
+        ("Submit", Request::Submit { job: "job-1".into(), route: "lots".into() }),
+        ("Read", Request::Read { job: "job-ä".into(), since: 7, wait_ms: 30_000 }),
+        ("Body", Request::Body { job: "job-1".into(), item: "job-1-0".into() }),
+        ("End", Request::End { job: "job-1".into() }),
         ("Reserve", reserve),
         ("Settle", Request::Settle),
     ]
@@ -77,11 +77,11 @@
 
 /// Changes in an order in which each does something: two configurations, stores, groups, a retirement, a disk that is replaced.
 fn changes() -> Vec<(&'static str, Change, Bytes)> {
-    let seated = |part, places: &[usize]| {
+    let seated = |shard, places: &[usize]| {
         let seats = seats(&group(places));
-        Change::Seated { part, term: 2, index: 40, retirements: 1, count: seats.len() as u16, seats }
+        Change::Seated { shard, term: 2, index: 40, retirements: 1, count: seats.len() as u16, seats }
     };
-    let replaced = Seat { id: 77, ..seat(5) };
+    let replaced = MemberRecord { id: 77, ..seat(5) };
     let mut changes = vec![
         ("Configure", Change::Configure { base: 0, version: 5 }, configuration(5, "notary")),
         ("Configure", Change::Configure { base: 5, version: 8 }, configuration(8, "clerk")),
@@ -166,9 +166,9 @@
 #[test]
 fn given_a_roster_then_its_bytes_are_the_committed_ones_and_are_read_again() {
     let bytes: Vec<Bytes> = encoded_changes().into_iter().map(|(_, bytes)| bytes).collect();
-    let roster = control(&bytes).roster(&group(&[0, 1, 2]));
-    let committed = fixture::pin("roster", &[("roster".to_owned(), roster.encode())]);
-    let read = Roster::decode(&committed[0].1).unwrap();
+    let topology = control(&bytes).topology(&group(&[0, 1, 2]));
+    let committed = fixture::pin("roster", &[("roster".to_owned(), topology.encode())]);
+    let read = Topology::decode(&committed[0].1).unwrap();
     assert_eq!(members(&read.core).unwrap(), group(&[0, 1, 2]));
-    assert_eq!(read, roster);
+    assert_eq!(read, topology);
 }
--- a/crates/coordinator/tests/spoken.rs
+++ b/crates/coordinator/tests/spoken.rs
@@ -6,9 +6,9 @@
 mod fixture;
 
 use bytes::Bytes;
-use common::{Fleet, Trace, configuration, lots_of, settle, submit};
+use common::{Fleet, Trace, configuration, jobs_of, settle, submit};
 use rainlug_coordinator::frame::{Head, Request, split};
-use rainlug_coordinator::{Call, PARTS};
+use rainlug_coordinator::{BATCH_SHARDS, Call};
 
 /// Of each kind, so many different frames are pinned.
 const OF_EACH_KIND: usize = 3;
@@ -55,12 +55,12 @@
     fleet.ask(2, Call::Configure { base: 5, text: configuration(8, "notary") }, 2.0);
     fleet.ask(1, Call::Configuration, 2.0);
     fleet.cut(&[CALLER], &CUT_OFF);
-    for job in (1..=PARTS).flat_map(|part| lots_of(part, 1)) {
+    for job in (1..=BATCH_SHARDS).flat_map(|shard| jobs_of(shard, 1)) {
         fleet.ask(CALLER, submit(&job, 2), 4.0);
         fleet.pass(1.0);
-        fleet.ask(1, Call::Body { lot: job.clone(), item: format!("{job}-0") }, 4.0);
-        fleet.ask(CALLER, Call::Read { lot: job.clone(), since: 0, wait: 0 }, 4.0);
-        fleet.ask(2, Call::End { lot: job }, 4.0);
+        fleet.ask(1, Call::Body { job: job.clone(), item: format!("{job}-0") }, 4.0);
+        fleet.ask(CALLER, Call::Read { job: job.clone(), since: 0, wait: 0 }, 4.0);
+        fleet.ask(2, Call::End { job: job }, 4.0);
     }
     fleet.heal();
     fleet.ask(1, Call::Retire { store: "storage-9".to_owned() }, 2.0);
--- a/crates/coordinator/tests/stored.rs
+++ b/crates/coordinator/tests/stored.rs
@@ -10,9 +10,9 @@
 use std::path::{Path, PathBuf};
 
 use bytes::Bytes;
-use common::{Disk, Fleet, configuration, figure, lots_of, submit};
+use common::{Disk, Fleet, configuration, figure, jobs_of, submit};
 use rainlug::{SECOND, Time};
-use rainlug_coordinator::{CONTROL, Call, Coordinator, PARTS, part_of};
+use rainlug_coordinator::{BATCH_SHARDS, CONTROL, Call, Coordinator, shard_of_route};
 use rainlug_wal::Wal;
 
 /// Gateways come first; the last store is retired.
@@ -47,7 +47,7 @@
     let json = format!(
         r#"{{"requests":[{{"id":"{id}-0","path":"/l/0","headers":{{}},"body":"{body}","token_count":100}}]}}"#
     );
-    Call::Submit { lot: id.to_owned(), route: "lots".to_owned(), body: Bytes::from(json) }
+    Call::Submit { job: id.to_owned(), route: "lots".to_owned(), body: Bytes::from(json) }
 }
 
 fn accept(fleet: &mut Fleet, call: Call) {
@@ -62,7 +62,7 @@
 }
 
 fn ledger_part() -> u16 {
-    part_of("lots")
+    shard_of_route("lots")
 }
 
 /// Batch jobs come and are done until the log of their part is rewritten to a snapshot: of the last ones there is little.
@@ -90,7 +90,7 @@
 }
 
 fn jobs() -> Jobs {
-    let mut names = lots_of(ledger_part(), 200);
+    let mut names = jobs_of(ledger_part(), 200);
     let fillers = names.split_off(3);
     let [complete, open, ended] = names.try_into().expect("three names");
     Jobs { complete, open, ended, fillers }
@@ -125,7 +125,7 @@
     fleet.run_time = NEVER;
     accept(&mut fleet, submit(&jobs.open, 3));
     accept(&mut fleet, submit(&jobs.ended, 4));
-    accept(&mut fleet, Call::End { lot: jobs.ended });
+    accept(&mut fleet, Call::End { job: jobs.ended });
     fleet.pass(3.0);
     assert!(fleet.now < LATER);
     fleet
@@ -140,7 +140,7 @@
     let disk = fleet.machines[machine].disk.as_ref().expect("a disk");
     let mut logs = BTreeMap::from([("identity".to_owned(), identity(disk))]);
     if [GATEWAY, STORE].contains(&machine) {
-        logs.extend(disk.synced.iter().map(|(part, records)| (format!("part-{part}"), records.clone())));
+        logs.extend(disk.synced.iter().map(|(shard, records)| (format!("part-{shard}"), records.clone())));
     }
     logs
 }
@@ -192,9 +192,9 @@
     let id = u64::from_le_bytes(own["identity"][0][..].try_into().expect("eight bytes"));
     let mut disk = Disk::default();
     disk.id = id;
-    for part in CONTROL..=PARTS {
-        if let Some(records) = logs.get(&format!("part-{part}")) {
-            disk.synced.insert(part, records.clone());
+    for shard in CONTROL..=BATCH_SHARDS {
+        if let Some(records) = logs.get(&format!("part-{shard}")) {
+            disk.synced.insert(shard, records.clone());
         }
     }
     disk
@@ -214,15 +214,15 @@
     fleet
 }
 
-fn read(fleet: &mut Fleet, lot: &str) -> String {
-    let answer = fleet.ask(1, Call::Read { lot: lot.to_owned(), since: 0, wait: 0 }, 4.0).expect("an answer");
+fn read(fleet: &mut Fleet, job: &str) -> String {
+    let answer = fleet.ask(1, Call::Read { job: job.to_owned(), since: 0, wait: 0 }, 4.0).expect("an answer");
     String::from_utf8(answer.body.to_vec()).expect("text")
 }
 
 /// The answer to a read of a batch job whose items were all run.
-fn complete(lot: &str, items: usize) -> String {
+fn complete(job: &str, items: usize) -> String {
     let output = |n| {
-        let id = format!("{lot}-{n}");
+        let id = format!("{job}-{n}");
         format!(r#"{{"id":"{id}","state":"complete","prompt":"{id} 1\n{id} 2\n{id} 3"}}"#)
     };
     let outputs: Vec<String> = (0..items).map(output).collect();
@@ -232,21 +232,21 @@
 /// Name, whether it retires, and parts of each store.
 fn stores_with_parts(coordinator: &Coordinator) -> Vec<(String, bool, Vec<u16>)> {
     let stores = coordinator.list_stores().into_iter();
-    stores.map(|store| (store.name, store.retiring, store.parts)).collect()
+    stores.map(|store| (store.name, store.retiring, store.shards)).collect()
 }
 
 fn expected_stores() -> Vec<(String, bool, Vec<u16>)> {
     let store = |n: usize| {
-        let parts = if n == RETIRED { vec![] } else { (1..=PARTS).collect() };
-        (format!("storage-{n}"), n == RETIRED, parts)
+        let shards = if n == RETIRED { vec![] } else { (1..=BATCH_SHARDS).collect() };
+        (format!("storage-{n}"), n == RETIRED, shards)
     };
     (GATEWAYS..MACHINES).map(store).collect()
 }
 
 /// The names of a part's members.
-fn group_of(coordinator: &Coordinator, part: u16) -> Vec<String> {
-    let parts = coordinator.list_parts();
-    let mut members = parts.into_iter().find(|line| line.number == part).expect("a part").members;
+fn group_of(coordinator: &Coordinator, shard: u16) -> Vec<String> {
+    let shards = coordinator.list_shards();
+    let mut members = shards.into_iter().find(|line| line.number == shard).expect("a part").members;
     members.sort();
     members
 }
@@ -278,8 +278,8 @@
         assert_eq!(coordinator.configuration().map(|c| c.version), Some(8), "at {machine}");
         assert_eq!(stores_with_parts(coordinator), expected_stores(), "at {machine}");
         assert_eq!(group_of(coordinator, CONTROL), ["edge-0", "edge-1", "edge-2"], "at {machine}");
-        for part in 1..=PARTS {
-            assert_eq!(group_of(coordinator, part), ["storage-3", "storage-4", "storage-5"], "at {machine}");
+        for shard in 1..=BATCH_SHARDS {
+            assert_eq!(group_of(coordinator, shard), ["storage-3", "storage-4", "storage-5"], "at {machine}");
         }
     }
 }
