--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -10,16 +10,16 @@
 use crate::{Index, Member, Term};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum EntryKind {
     Noop = 0,
     Command = 1,
-    Group = 2,
+    ReplicaSet = 2,
 }
 
 #[derive(Clone, Debug)]
 pub struct Entry {
     pub term: Term,
-    pub kind: Kind,
+    pub kind: EntryKind,
     pub data: Bytes,
 }
 
@@ -124,7 +124,7 @@
         at
     }
     pub fn push(&mut self, entry: Entry) {
-        if entry.kind == Kind::Group
+        if entry.kind == EntryKind::ReplicaSet
             && let Ok((before, after)) = read_group(&entry.data)
         {
             let group = Group { index: self.last() + 1, before, after };
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -19,10 +19,10 @@
 use rand_chacha::ChaCha8Rng;
 
 pub use self::handing_out::{MAX_APPLY_BYTES, MAX_APPLY_ENTRIES};
-use crate::log::{Kind, Log, Snapshot, Source};
+use crate::log::{EntryKind, Log, Snapshot, Source};
 use crate::records::ChunkRecords;
-use crate::state::{Restore, SnapshotSource};
-use crate::{Index, Member, MemberId, Output, Refused, Settings, Term, Time, wire};
+use crate::state::{RestoreStep, SnapshotSource};
+use crate::{Index, Member, MemberId, ProposeError, Ready, ReplicationLag, Settings, Term, Time, wire};
 
 /// Messages with entries on their way to one follower, at most.
 const MOST_IN_FLIGHT: usize = 8;
@@ -56,7 +56,7 @@
 impl Settings {
     /// The longest wait for the answer to a piece of a snapshot before it is sent again.
     fn most_patience(&self) -> Time {
-        MOST_PATIENCE * self.election
+        MOST_PATIENCE * self.election_timeout
     }
 }
 
@@ -148,7 +148,7 @@
     /// Given to the state machine, up to here; where something is to be restored, once it has that.
     applied: Index,
     /// To be given to the state machine first.
-    restoring: VecDeque<Restore>,
+    restoring: VecDeque<RestoreStep>,
     /// Group entries up to here are known to be committed, also where `commit` is not yet.
     settled: Index,
     /// Of the newest record of that.
@@ -184,7 +184,7 @@
     incoming: Option<Incoming>,
     /// Messages that must not go before a ticket is saved.
     held: VecDeque<(u64, Member, Bytes)>,
-    output: Output,
+    output: Ready,
     seen: Observed,
 }
 
@@ -235,32 +235,32 @@
             reads: vec![],
             incoming: None,
             held: VecDeque::new(),
-            output: Output::default(),
+            output: Ready::default(),
             seen: Observed { leader: None, leads: false, group: 0, settled: true },
         };
         // Nobody is known to lead: all may have just started. Pre-votes harm no leader that does.
-        replica.deadline = replica.draw(replica.settings.election / 4);
+        replica.deadline = replica.draw(replica.settings.election_timeout / 4);
         replica
     }
 
     /// When `due` is to be called, at the latest.
-    pub fn next(&self) -> Time {
-        if self.has_backlog() {
+    pub fn next_timeout(&self) -> Time {
+        if self.has_unapplied_entries() {
             return self.now;
         }
         if self.role == Role::Leader {
             self.heartbeat_due.min(self.quorum_due)
         } else {
             // More often than it would stand: so a gap between calls tells that the process stood still.
-            self.deadline.min(self.now + (self.settings.election / 2).max(1))
+            self.deadline.min(self.now + (self.settings.election_timeout / 2).max(1))
         }
     }
 
-    pub fn due(&mut self, now: Time) {
+    pub fn handle_timeout(&mut self, now: Time) {
         self.wake(now);
         if self.role == Role::Leader {
             if self.now >= self.heartbeat_due {
-                self.heartbeat_due = self.now + self.settings.heartbeat.max(1);
+                self.heartbeat_due = self.now + self.settings.heartbeat_interval.max(1);
                 self.broadcast_pending = true;
                 for progress in self.progress.values_mut() {
                     match &mut progress.flow {
@@ -282,7 +282,7 @@
     }
 
     /// All records up to this ticket are on the disk.
-    pub fn saved(&mut self, now: Time, ticket: u64) {
+    pub fn persisted(&mut self, now: Time, ticket: u64) {
         self.wake(now);
         self.saved = self.saved.max(ticket.min(self.ticket));
         while let Some(&(ticket, index)) = self.unsaved.front()
@@ -308,12 +308,12 @@
     ///
     /// # Errors
     /// Not the leader.
-    pub fn propose(&mut self, now: Time, command: Bytes) -> Result<(Index, Term), Refused> {
+    pub fn propose(&mut self, now: Time, command: Bytes) -> Result<(Index, Term), ProposeError> {
         self.wake(now);
         if self.role != Role::Leader {
             return Err(self.not_leader());
         }
-        let index = self.append(Kind::Command, command);
+        let index = self.append(EntryKind::Command, command);
         Ok((index, self.term))
     }
 
@@ -321,7 +321,7 @@
     ///
     /// # Errors
     /// Not the leader; or not now, also where the groups differ by more, or an id is there twice.
-    pub fn change(&mut self, now: Time, members: Vec<Member>) -> Result<Index, Refused> {
+    pub fn change_replica_set(&mut self, now: Time, members: Vec<Member>) -> Result<Index, ProposeError> {
         self.wake(now);
         if self.role != Role::Leader {
             return Err(self.not_leader());
@@ -332,8 +332,8 @@
         let by_one = old.difference(&new).count() <= 1 && new.difference(&old).count() <= 1;
         // It need not have committed an entry of its own term: where half of the group is fenced it cannot before another one has
         // joined. A change that was committed is on a quorum of the group that it ended, so whoever was elected has it.
-        if !self.is_settled() || new.is_empty() || new.len() != members.len() || !by_one {
-            return Err(Refused::Busy);
+        if !self.is_replica_set_committed() || new.is_empty() || new.len() != members.len() || !by_one {
+            return Err(ProposeError::ChangeInProgress);
         }
         for member in &members {
             if member.id != self.me.id {
@@ -345,7 +345,7 @@
             }
         }
         let data = wire::group(&before, &members);
-        Ok(self.append(Kind::Group, data))
+        Ok(self.append(EntryKind::ReplicaSet, data))
     }
 
     /// These disks have no part in breaking a tie from now on (see `quorum`). Of any two sets that members of a group are ever
@@ -361,7 +361,7 @@
     }
 
     /// Asks for a read that sees all that was committed before; answered in [`Output::reads`].
-    pub fn read(&mut self, now: Time, ticket: u64) {
+    pub fn read_index(&mut self, now: Time, ticket: u64) {
         self.wake(now);
         if self.role == Role::Leader {
             // What earlier leaders have committed is known once an entry of this term is.
@@ -373,7 +373,7 @@
     }
 
     /// The state machine's whole state as of all that was taken so far. Entries up to there are dropped.
-    pub fn snapshot(&mut self, now: Time, state: Arc<dyn SnapshotSource>) {
+    pub fn compact(&mut self, now: Time, state: Arc<dyn SnapshotSource>) {
         self.wake(now);
         self.compact_asked = false;
         if !self.restoring.is_empty() {
@@ -397,14 +397,14 @@
     }
 
     /// The snapshot that was asked for does not pay now; it is asked for again after as many bytes.
-    pub fn postpone_snapshot(&mut self) {
+    pub fn postpone_compaction(&mut self) {
         self.compact_asked = false;
         self.weight = 0;
     }
 
     /// What it wants done. Of what the state machine has to do it hands out [`MOST_HANDED_BYTES`] and [`MOST_HANDED_ENTRIES`] at
-    /// most; where that is not all, [`Replica::next`] is now, and [`Replica::has_backlog`] holds.
-    pub fn take(&mut self) -> Output {
+    /// most; where that is not all, [`Replica::next_timeout`] is now, and [`Replica::has_backlog`] holds.
+    pub fn take_ready(&mut self) -> Ready {
         self.advance();
         if self.role == Role::Leader {
             if std::mem::take(&mut self.round_wanted) {
@@ -421,47 +421,47 @@
             self.output.reads.extend(self.reads.extract_if(.., answered).map(|read| (read.ticket, Ok(()))));
         }
         if !self.compact_asked
-            && self.weight > self.settings.compact_bytes
+            && self.weight > self.settings.compaction_threshold_bytes
             && self.applied > self.snapshot.index
         {
             self.compact_asked = true;
-            self.output.compact = true;
+            self.output.needs_compaction = true;
         }
         if self.restoring.is_empty() && std::mem::take(&mut self.state_wanted) && !self.compact_asked {
             self.compact_asked = true;
-            self.output.compact = true;
-            self.output.is_state_wanted = true;
+            self.output.needs_compaction = true;
+            self.output.needs_snapshot = true;
         }
         self.trim();
         let observe = self.observe();
-        self.output.changed |= observe != self.seen;
+        self.output.has_status_changed |= observe != self.seen;
         self.seen = observe;
         std::mem::take(&mut self.output)
     }
 
-    pub fn me(&self) -> &Member {
+    pub fn local_member(&self) -> &Member {
         &self.me
     }
     pub fn leader(&self) -> Option<&Member> {
         self.leader.as_ref()
     }
-    /// Was elected, and may change the group; whether it may serve is told by [`Replica::leads`].
-    pub fn is_elected(&self) -> bool {
+    /// Was elected, and may change the group; whether it may serve is told by [`Replica::is_serving_leader`].
+    pub fn is_leader(&self) -> bool {
         self.role == Role::Leader
     }
     /// Leads, has committed an entry of its own term, and has handed out all that earlier leaders committed.
-    pub fn leads(&self) -> bool {
+    pub fn is_serving_leader(&self) -> bool {
         self.role == Role::Leader && self.restoring.is_empty() && self.applied >= self.first
     }
     pub fn term(&self) -> Term {
         self.term
     }
-    /// The newest group that it knows, and whether that is committed.
-    pub fn members(&self) -> (&[Member], bool) {
-        (&self.log.group().after, self.is_settled())
+    /// The newest replica set that it knows; [`Replica::is_replica_set_committed`] says whether that is committed.
+    pub fn members(&self) -> &[Member] {
+        &self.log.group().after
     }
     /// The index of the entry that names the newest group that it knows, or of a snapshot that does.
-    pub fn group_index(&self) -> Index {
+    pub fn replica_set_index(&self) -> Index {
         self.log.group().index
     }
     /// Bytes of the entries that are in its log and not known to be committed.
@@ -469,12 +469,16 @@
         self.log.weight_after(self.commit)
     }
     /// Entries that are in its log and not known to be committed.
-    pub fn uncommitted(&self) -> u64 {
+    pub fn uncommitted_entries(&self) -> u64 {
         self.log.last().saturating_sub(self.commit)
     }
-    /// The leader's knowledge of who is behind: entries that each other member lacks on its disk.
-    pub fn behind(&self) -> Vec<(MemberId, u64)> {
+    /// How far each other member is behind, as the leader knows it; empty where this member does not lead.
+    pub fn replication_lag(&self) -> Vec<ReplicationLag> {
         let last = self.log.last();
-        self.progress.iter().map(|(&id, progress)| (id, last.saturating_sub(progress.matched))).collect()
+        let lag = |(&member, progress): (&MemberId, &Progress)| ReplicationLag {
+            member,
+            entries: last.saturating_sub(progress.matched),
+        };
+        self.progress.iter().map(lag).collect()
     }
 }
--- a/crates/consensus/src/replica/election.rs
+++ b/crates/consensus/src/replica/election.rs
@@ -5,21 +5,21 @@
 use rand::Rng;
 
 use super::{Flow, Progress, Replica, Role};
-use crate::log::Kind;
+use crate::log::EntryKind;
 use crate::quorum::Quorums;
 use crate::wire::{self, Body};
-use crate::{Index, Member, MemberId, Refused, Term, Time};
+use crate::{Index, Member, MemberId, ProposeError, Term, Time};
 use bytes::Bytes;
 
 impl Replica {
     pub(super) fn wake(&mut self, now: Time) {
         let now = now.max(self.now);
-        let jumped = now - self.now > self.settings.election;
+        let jumped = now - self.now > self.settings.election_timeout;
         self.now = now;
         if self.role == Role::Leader {
             if now >= self.quorum_due {
                 let heard = self.reached_by_quorums(|progress| progress.heard, now);
-                self.quorum_due = heard + self.settings.election;
+                self.quorum_due = heard + self.settings.election_timeout;
                 if now >= self.quorum_due {
                     self.step_down();
                 }
@@ -35,7 +35,7 @@
         self.now + self.rng.random_range(least..2 * least)
     }
     pub(super) fn restart_timer(&mut self) {
-        self.deadline = self.draw(self.settings.election);
+        self.deadline = self.draw(self.settings.election_timeout);
     }
 
     pub(super) fn stand(&mut self) {
@@ -46,7 +46,7 @@
         }
         self.role = Role::PreCandidate;
         // To ask disturbs nobody, so it asks again soon.
-        self.deadline = self.draw(self.settings.election / 4);
+        self.deadline = self.draw(self.settings.election_timeout / 4);
         self.votes = BTreeSet::from([self.me.id]);
         for member in self.others() {
             let body = self.vote_request(true);
@@ -90,10 +90,10 @@
             (member.id, Progress::new(member, self.first, flow, self.now))
         };
         self.progress = self.others().into_iter().map(new).collect();
-        self.heartbeat_due = self.now + self.settings.heartbeat.max(1);
-        self.quorum_due = self.now + self.settings.election;
+        self.heartbeat_due = self.now + self.settings.heartbeat_interval.max(1);
+        self.quorum_due = self.now + self.settings.election_timeout;
         self.broadcast_pending = true;
-        self.append(Kind::Noop, Bytes::new());
+        self.append(EntryKind::Noop, Bytes::new());
     }
     pub(super) fn step_down(&mut self) {
         if self.role == Role::Leader {
@@ -130,8 +130,8 @@
         }
         self.restart_timer();
     }
-    pub(super) fn not_leader(&self) -> Refused {
-        Refused::NotLeader(self.leader.clone().filter(|leader| leader.id != self.me.id))
+    pub(super) fn not_leader(&self) -> ProposeError {
+        ProposeError::NotLeader(self.leader.clone().filter(|leader| leader.id != self.me.id))
     }
 
     pub(super) fn vote_requested(
@@ -143,7 +143,7 @@
         last: (Term, Index),
     ) {
         let has_leader = self.role == Role::Leader
-            || self.leader_heard.is_some_and(|heard| self.now - heard < self.settings.election);
+            || self.leader_heard.is_some_and(|heard| self.now - heard < self.settings.election_timeout);
         if !has_leader && term > self.term {
             self.set_term(term, None);
         }
@@ -163,7 +163,7 @@
             self.restart_timer();
         }
         let group = self.log.group().index;
-        let settled = if self.is_settled() { self.log.term(group) } else { None };
+        let settled = if self.is_replica_set_committed() { self.log.term(group) } else { None };
         let body = Body::Vote {
             pre: u8::from(pre),
             for_term,
--- a/crates/consensus/src/replica/entries.rs
+++ b/crates/consensus/src/replica/entries.rs
@@ -1,7 +1,7 @@
 //! Entries: appended, saved, committed, and replaced by those of a newer leader.
 
 use super::{Replica, Role};
-use crate::log::{Entry, Kind, Snapshot};
+use crate::log::{Entry, EntryKind, Snapshot};
 use crate::records::{ChunkRecords, Records};
 use crate::wire::{self, Body};
 use crate::{Index, Member, Rewrite, Term};
@@ -12,10 +12,10 @@
         if !std::mem::replace(&mut self.founded, true) && !self.snapshot.group.is_empty() {
             self.ticket += 1;
             let founding = wire::snapshot_record(0, 0, &self.snapshot.group, 0);
-            self.output.save.push((self.ticket, founding));
+            self.output.records.push((self.ticket, founding));
         }
         self.ticket += 1;
-        self.output.save.push((self.ticket, record));
+        self.output.records.push((self.ticket, record));
         self.ticket
     }
     pub(super) fn push(&mut self, entry: Entry) -> Index {
@@ -28,7 +28,7 @@
         self.unsaved.push_back((ticket, index));
         index
     }
-    pub(super) fn append(&mut self, kind: Kind, data: Bytes) -> Index {
+    pub(super) fn append(&mut self, kind: EntryKind, data: Bytes) -> Index {
         self.push(Entry { term: self.term, kind, data })
     }
     pub(super) fn truncate(&mut self, index: Index) {
@@ -54,7 +54,7 @@
         };
         self.founded = true;
         self.ticket += 1;
-        self.output.save.clear();
+        self.output.records.clear();
         self.output.rewrite = Some(Rewrite { ticket: self.ticket, records, is_implied });
         self.unsaved.push_back((self.ticket, self.log.last()));
     }
@@ -68,7 +68,7 @@
 
     /// Whether the newest group is known to be committed, on the disk too.
     pub(super) fn has_saved_settled(&self) -> bool {
-        self.is_settled() && self.settled_ticket <= self.saved
+        self.is_replica_set_committed() && self.settled_ticket <= self.saved
     }
     pub(super) fn appended(&self, round: u64, matched: Index) -> Body {
         Body::Appended { round, matched, settled: u8::from(self.has_saved_settled()) }
--- a/crates/consensus/src/replica/handing_out.rs
+++ b/crates/consensus/src/replica/handing_out.rs
@@ -1,12 +1,12 @@
 //! What goes to the state machine: a bounded part at a time, so that a long log or a big snapshot keeps no message waiting.
 
 use super::Replica;
-use crate::log::Kind;
-use crate::state::Restore;
+use crate::log::EntryKind;
+use crate::state::RestoreStep;
 
-/// Bytes of commands and pieces that one [`Replica::take`] hands out, at most; one that is longer goes alone.
+/// Bytes of commands and pieces that one [`Replica::take_ready`] hands out, at most; one that is longer goes alone.
 pub const MAX_APPLY_BYTES: usize = 256 << 10;
-/// Entries and steps of restoring that one [`Replica::take`] hands out, at most.
+/// Entries and steps of restoring that one [`Replica::take_ready`] hands out, at most.
 pub const MAX_APPLY_ENTRIES: usize = 256;
 
 /// What was handed out in one `take`.
@@ -31,7 +31,7 @@
 
 impl Replica {
     /// The state machine has not been handed all yet that it could be.
-    pub fn has_backlog(&self) -> bool {
+    pub fn has_unapplied_entries(&self) -> bool {
         !self.restoring.is_empty() || self.applied < self.commit
     }
 
@@ -53,7 +53,7 @@
         {
             self.applied += 1;
             self.weight += entry.weight();
-            if entry.kind == Kind::Command {
+            if entry.kind == EntryKind::Command {
                 self.output.committed.push((self.applied, entry.data.clone()));
             }
         }
@@ -62,20 +62,20 @@
     /// Another state is to be built.
     pub(super) fn begin_restore(&mut self) {
         self.forget_unfinished();
-        self.restoring.push_back(Restore::Begin);
+        self.restoring.push_back(RestoreStep::Begin);
     }
 
     /// The state that was begun will not be finished.
     pub(super) fn abandon_incoming(&mut self) {
         if self.incoming.take().is_some() {
             self.forget_unfinished();
-            self.restoring.push_back(Restore::Abandon);
+            self.restoring.push_back(RestoreStep::Abandon);
         }
     }
 
     /// Drops steps of a state that is not whole and that the state machine has not been handed.
     fn forget_unfinished(&mut self) {
-        while self.restoring.back().is_some_and(|step| !matches!(step, Restore::Finish(_))) {
+        while self.restoring.back().is_some_and(|step| !matches!(step, RestoreStep::Finish(_))) {
             self.restoring.pop_back();
         }
     }
--- a/crates/consensus/src/replica/install.rs
+++ b/crates/consensus/src/replica/install.rs
@@ -8,7 +8,7 @@
 use super::{Incoming, Replica};
 use crate::log::{Log, Snapshot};
 use crate::records::ChunkRecords;
-use crate::state::Restore;
+use crate::state::RestoreStep;
 use crate::wire::{Body, CHUNK_RECORD_HEADER};
 use crate::{Index, Member, Term};
 
@@ -40,7 +40,7 @@
         if let Some(record) = chunk.record
             && chunk.number as usize == incoming.records.len()
         {
-            self.restoring.push_back(Restore::Chunk(record.slice(CHUNK_RECORD_HEADER..)));
+            self.restoring.push_back(RestoreStep::Chunk(record.slice(CHUNK_RECORD_HEADER..)));
             incoming.records.push(record);
         }
         let wanted = u32::try_from(incoming.records.len()).unwrap_or(u32::MAX);
@@ -80,7 +80,7 @@
         self.compact_asked = false;
         self.commit = index;
         self.applied = index;
-        self.restoring.push_back(Restore::Finish(index));
+        self.restoring.push_back(RestoreStep::Finish(index));
         self.rewrite(ChunkRecords::Received(records.into()), false);
     }
 }
--- a/crates/consensus/src/replica/receiving.rs
+++ b/crates/consensus/src/replica/receiving.rs
@@ -20,7 +20,7 @@
     ///
     /// # Errors
     /// Where the bytes cannot be read; nothing has changed then.
-    pub fn heard(&mut self, now: Time, bytes: &Bytes) -> Result<(), DecodeError> {
+    pub fn receive(&mut self, now: Time, bytes: &Bytes) -> Result<(), DecodeError> {
         let message = wire::read_message(bytes)?;
         self.wake(now);
         if message.to != self.me.id || message.from.id == self.me.id {
--- a/crates/consensus/src/replica/recovery.rs
+++ b/crates/consensus/src/replica/recovery.rs
@@ -6,7 +6,7 @@
 
 use super::Replica;
 use crate::log::{Log, Snapshot};
-use crate::state::Restore;
+use crate::state::RestoreStep;
 use crate::wire::{self, Record};
 use crate::{DecodeError, Index, Member, Settings, Time};
 
@@ -72,7 +72,7 @@
                 self.snapshot = Arc::new(Snapshot { index, term, group, state: None });
                 self.restoring.clear();
                 if index > 0 {
-                    self.restoring.push_back(Restore::Begin);
+                    self.restoring.push_back(RestoreStep::Begin);
                 }
                 return Ok(self.recover_rest(Missing { index, chunks, next: 0 }));
             }
@@ -85,7 +85,7 @@
     fn recover_chunk(&mut self, missing: Missing, record: Record) -> Result<Option<Missing>, DecodeError> {
         match record {
             Record::Chunk { number, state } if number == missing.next => {
-                self.restoring.push_back(Restore::Chunk(state));
+                self.restoring.push_back(RestoreStep::Chunk(state));
                 Ok(self.recover_rest(Missing { next: number + 1, ..missing }))
             }
             _ => Err(DecodeError::Malformed("a snapshot that is not whole")),
@@ -98,7 +98,7 @@
             return Some(missing);
         }
         if missing.index > 0 {
-            self.restoring.push_back(Restore::Finish(missing.index));
+            self.restoring.push_back(RestoreStep::Finish(missing.index));
         }
         None
     }
--- a/crates/consensus/src/replica/sending.rs
+++ b/crates/consensus/src/replica/sending.rs
@@ -11,9 +11,9 @@
 
 /// Whether one more message may go to a follower beside those that it has not acknowledged: no more than a few, and few bytes, so
 /// that signs of life do not wait behind them.
-fn has_room(in_flight: &VecDeque<(Index, usize)>, most_bytes: usize) -> bool {
+fn has_room(in_flight: &VecDeque<(Index, usize)>, max_message_bytes: usize) -> bool {
     let bytes: usize = in_flight.iter().map(|(_, bytes)| bytes).sum();
-    in_flight.len() < MOST_IN_FLIGHT && bytes < most_bytes
+    in_flight.len() < MOST_IN_FLIGHT && bytes < max_message_bytes
 }
 
 impl Replica {
@@ -71,7 +71,7 @@
     }
     /// Has been heard within an election time.
     pub(super) fn is_alive(&self, progress: &Progress) -> bool {
-        self.now - progress.heard <= self.settings.election
+        self.now - progress.heard <= self.settings.election_timeout
     }
     pub(super) fn feed(
         &self,
@@ -100,7 +100,7 @@
             };
             progress.allowance = usize::try_from(source.state.size()).unwrap_or(usize::MAX);
             let snapshot = self.snapshot.clone();
-            let patience = self.settings.election;
+            let patience = self.settings.election_timeout;
             progress.flow = Flow::Snapshot { snapshot, source, number: 0, sent: None, patience };
         }
         let mut at = None;
@@ -111,7 +111,8 @@
                 }
             }
             Flow::Replicate { in_flight } => {
-                while has_room(in_flight, self.settings.most_bytes) && progress.next <= self.log.last() {
+                while has_room(in_flight, self.settings.max_message_bytes) && progress.next <= self.log.last()
+                {
                     let prev = progress.next - 1;
                     let (message, last) = self.entries_message(&progress.member, prev);
                     in_flight.push_back((last, message.1.len()));
@@ -169,7 +170,7 @@
         let mut bulk: Vec<&[u8]> = vec![];
         while let Some(entry) = self.log.get(last + 1)
             && (heads.is_empty()
-                || heads.len() < MOST_ENTRIES && bytes + entry.data.len() <= self.settings.most_bytes)
+                || heads.len() < MOST_ENTRIES && bytes + entry.data.len() <= self.settings.max_message_bytes)
         {
             last += 1;
             bytes += entry.data.len();
@@ -217,9 +218,9 @@
     pub(super) fn observe(&self) -> Observed {
         Observed {
             leader: self.leader.as_ref().map(|leader| leader.id),
-            leads: self.leads(),
+            leads: self.is_serving_leader(),
             group: self.log.group().index,
-            settled: self.is_settled(),
+            settled: self.is_replica_set_committed(),
         }
     }
 }
--- a/crates/consensus/src/replica/vacating.rs
+++ b/crates/consensus/src/replica/vacating.rs
@@ -22,7 +22,7 @@
 impl Replica {
     /// Gives up log and state. Only for a member whose newest group was replaced by a committed one without it, told from elsewhere.
     /// The caller drops its state machine for an empty one at once. A leader or candidate keeps everything; false then.
-    pub fn vacate(&mut self, now: Time) -> bool {
+    pub fn become_tombstone(&mut self, now: Time) -> bool {
         self.wake(now);
         if matches!(self.role, Role::Leader | Role::Candidate) {
             return false;
@@ -35,7 +35,7 @@
     }
 
     /// Whether it knows no group and holds nothing of one.
-    pub fn is_vacant(&self) -> bool {
+    pub fn is_tombstone(&self) -> bool {
         let group = self.log.group();
         group.after.is_empty() && self.log.last() == 0 && self.incoming.is_none()
     }
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -17,7 +17,7 @@
 
 /// A step of replacing the whole state of a state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Restore {
+pub enum RestoreStep {
     /// Another state is begun, empty, beside the one in force; one begun earlier and not finished is dropped.
     Begin,
     /// The next piece of the state that was begun.
@@ -28,12 +28,12 @@
     Finish(Index),
 }
 
-impl Restore {
+impl RestoreStep {
     /// Bytes that it hands on.
     pub(crate) fn len(&self) -> usize {
         match self {
-            Restore::Chunk(chunk) => chunk.len(),
-            Restore::Begin | Restore::Abandon | Restore::Finish(_) => 0,
+            RestoreStep::Chunk(chunk) => chunk.len(),
+            RestoreStep::Begin | RestoreStep::Abandon | RestoreStep::Finish(_) => 0,
         }
     }
 }
--- a/crates/consensus/src/wire.rs
+++ b/crates/consensus/src/wire.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use deku::prelude::*;
 
-use crate::log::{Entry, Kind};
+use crate::log::{Entry, EntryKind};
 use crate::{DecodeError, Index, Member, MemberId, Term};
 
 /// Indexes and terms beyond this are not believed, so sums of them cannot run over.
@@ -30,13 +30,24 @@
 
 impl From<&Member> for MemberCode {
     fn from(member: &Member) -> Self {
-        let (v6, ip, flow, scope) = match member.at {
+        let (v6, ip, flow, scope) = match member.address {
             SocketAddr::V4(at) => (0, at.ip().to_ipv6_mapped().octets(), 0, 0),
             SocketAddr::V6(at) => (1, at.ip().octets(), at.flowinfo(), at.scope_id()),
         };
         let (name_len, name) = text(&member.name);
         let (zone_len, zone) = text(&member.zone);
-        Self { id: member.id, name_len, name, zone_len, zone, v6, ip, port: member.at.port(), flow, scope }
+        Self {
+            id: member.id,
+            name_len,
+            name,
+            zone_len,
+            zone,
+            v6,
+            ip,
+            port: member.address.port(),
+            flow,
+            scope,
+        }
     }
 }
 
@@ -56,7 +67,7 @@
             (1, _) => SocketAddr::V6(SocketAddrV6::new(ip, code.port, code.flow, code.scope)),
             _ => return Err(DecodeError::Malformed("a member's address")),
         };
-        Ok(Self { id: code.id, name: text(code.name)?, zone: text(code.zone)?, at })
+        Ok(Self { id: code.id, name: text(code.name)?, zone: text(code.zone)?, address: at })
     }
 }
 
@@ -193,11 +204,11 @@
 
 fn entry(term: Term, kind: u8, data: Bytes) -> Result<Entry, DecodeError> {
     let kind = match kind {
-        0 => Kind::Noop,
-        1 => Kind::Command,
+        0 => EntryKind::Noop,
+        1 => EntryKind::Command,
         2 => {
             read_group(&data)?;
-            Kind::Group
+            EntryKind::ReplicaSet
         }
         _ => return Err(DecodeError::Malformed("an entry's kind")),
     };
--- a/crates/consensus/tests/bounded_steps.rs
+++ b/crates/consensus/tests/bounded_steps.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use common::{MILLIS, Network, SECOND, World, is_more_than_bounded, member, members, settings};
 use rainlug_consensus::{
-    InMemoryState, Index, MAX_APPLY_BYTES, MAX_APPLY_ENTRIES, MemberId, Output, Replica, Restore, Settings,
-    SnapshotSource, Time,
+    InMemoryState, Index, MAX_APPLY_BYTES, MAX_APPLY_ENTRIES, MemberId, Ready, Replica, RestoreStep,
+    Settings, SnapshotSource, Time,
 };
 
 /// Bytes of a change beside its number.
@@ -19,7 +19,12 @@
 
 /// Figures of the tier.
 fn wide() -> Settings {
-    Settings { most_bytes: 128 << 10, compact_bytes: 64 << 20, lag_bytes: 4 << 20, ..settings(2) }
+    Settings {
+        max_message_bytes: 128 << 10,
+        compaction_threshold_bytes: 64 << 20,
+        max_lag_bytes: 4 << 20,
+        ..settings(2)
+    }
 }
 
 fn others(leader: MemberId) -> Vec<MemberId> {
@@ -72,28 +77,28 @@
     /// One turn of a shell's loop: what is due, one take, and what that sends arrives.
     fn turn(&mut self, place: usize) {
         let now = self.now;
-        if self.replicas[place].next() <= now {
-            self.replicas[place].due(now);
+        if self.replicas[place].next_timeout() <= now {
+            self.replicas[place].handle_timeout(now);
         }
-        let output = self.replicas[place].take();
+        let output = self.replicas[place].take_ready();
         self.too_much += usize::from(is_more_than_bounded(&output));
         self.takes[place] += usize::from(!output.committed.is_empty());
         self.applied[place] += output.committed.len();
-        let was_behind = self.replicas[place].has_backlog();
+        let was_behind = self.replicas[place].has_unapplied_entries();
         assert!(
-            !was_behind || self.replicas[place].next() <= now,
+            !was_behind || self.replicas[place].next_timeout() <= now,
             "more is to be done, and it does not say so"
         );
-        if let Some((ticket, _)) = output.save.last() {
-            self.replicas[place].saved(now, *ticket);
+        if let Some((ticket, _)) = output.records.last() {
+            self.replicas[place].persisted(now, *ticket);
         }
         for (to, bytes) in output.messages {
-            let Some(at) = self.replicas.iter().position(|replica| replica.me().id == to.id) else {
+            let Some(at) = self.replicas.iter().position(|replica| replica.local_member().id == to.id) else {
                 continue;
             };
             self.sent_meanwhile += usize::from(was_behind);
-            self.heard_meanwhile += usize::from(self.replicas[at].has_backlog());
-            self.replicas[at].heard(now, &bytes).expect("it can be read");
+            self.heard_meanwhile += usize::from(self.replicas[at].has_unapplied_entries());
+            self.replicas[at].receive(now, &bytes).expect("it can be read");
         }
     }
 }
@@ -110,11 +115,11 @@
         for place in 0..2 {
             fleet.turn(place);
             let replica = &fleet.replicas[place];
-            if replica.is_elected() {
+            if replica.is_leader() {
                 leader_terms.push(replica.term());
             }
             // Then it does not serve before its state machine has all of the earlier terms.
-            assert!(!replica.leads() || fleet.applied[place] >= ENTRIES);
+            assert!(!replica.is_serving_leader() || fleet.applied[place] >= ENTRIES);
         }
     }
     leader_terms.dedup();
@@ -129,38 +134,38 @@
         fleet.now += TURN;
         (0..2).for_each(|place| fleet.turn(place));
     }
-    assert!(fleet.replicas.iter().any(Replica::leads));
+    assert!(fleet.replicas.iter().any(Replica::is_serving_leader));
 }
 
 #[test]
 fn given_a_member_that_applies_a_long_log_when_it_is_asked_for_a_vote_then_it_answers() {
     let records = long_log(ENTRIES, PADDING);
     let mut fleet = Restarted::new(&records);
-    let behind = |fleet: &Restarted| fleet.replicas.iter().any(Replica::has_backlog);
+    let behind = |fleet: &Restarted| fleet.replicas.iter().any(Replica::has_unapplied_entries);
     while !behind(&fleet) {
         fleet.now += MILLIS;
         (0..2).for_each(|place| fleet.turn(place));
         assert!(fleet.now < 10 * SECOND);
     }
-    let place = fleet.replicas.iter().position(Replica::has_backlog).expect("one is behind");
+    let place = fleet.replicas.iter().position(Replica::has_unapplied_entries).expect("one is behind");
     // When it has heard no leader for long, and the other one stands.
     fleet.now += SECOND;
     let now = fleet.now;
     let mut third = Replica::recover(member(3), vec![], wide(), &records, 3, now).expect("its own records");
     let mut votes = 0;
-    fleet.replicas[place].due(now);
+    fleet.replicas[place].handle_timeout(now);
     for _ in 0..200 {
-        let later = third.next();
-        third.due(later);
-        for (to, bytes) in third.take().messages {
-            if to.id == fleet.replicas[place].me().id {
-                fleet.replicas[place].heard(later.max(now), &bytes).expect("it can be read");
-                let answers = fleet.replicas[place].take();
+        let later = third.next_timeout();
+        third.handle_timeout(later);
+        for (to, bytes) in third.take_ready().messages {
+            if to.id == fleet.replicas[place].local_member().id {
+                fleet.replicas[place].receive(later.max(now), &bytes).expect("it can be read");
+                let answers = fleet.replicas[place].take_ready();
                 assert!(!is_more_than_bounded(&answers));
                 votes += answers.messages.iter().filter(|(to, _)| to.id == 3).count();
             }
         }
-        if votes > 0 && fleet.replicas[place].has_backlog() {
+        if votes > 0 && fleet.replicas[place].has_unapplied_entries() {
             return;
         }
     }
@@ -192,13 +197,13 @@
 #[test]
 fn the_check_finds_a_take_above_the_bound() {
     let command = |bytes: usize| (1, Bytes::from(vec![0; bytes]));
-    let output = |committed: Vec<(Index, Bytes)>| Output { committed, ..Output::default() };
+    let output = |committed: Vec<(Index, Bytes)>| Ready { committed, ..Ready::default() };
     assert!(!is_more_than_bounded(&output(vec![command(MAX_APPLY_BYTES + 1)])));
     assert!(is_more_than_bounded(&output(vec![command(MAX_APPLY_BYTES), command(1)])));
     assert!(is_more_than_bounded(&output(vec![command(0); MAX_APPLY_ENTRIES + 1])));
     let restore =
-        vec![Restore::Chunk(Bytes::from(vec![0; MAX_APPLY_BYTES])), Restore::Chunk(Bytes::from("a"))];
-    assert!(is_more_than_bounded(&Output { restore, ..Output::default() }));
+        vec![RestoreStep::Chunk(Bytes::from(vec![0; MAX_APPLY_BYTES])), RestoreStep::Chunk(Bytes::from("a"))];
+    assert!(is_more_than_bounded(&Ready { restore, ..Ready::default() }));
 }
 
 /// A state of many pieces that tells how many of them were made.
@@ -235,9 +240,9 @@
 fn alone() -> Replica {
     let mut replica = Replica::new(member(1), members(&[1]), wide(), 1, 0);
     let mut now = 0;
-    while !replica.leads() {
-        now = replica.next().max(now);
-        replica.due(now);
+    while !replica.is_serving_leader() {
+        now = replica.next_timeout().max(now);
+        replica.handle_timeout(now);
         save(&mut replica, now);
     }
     for command in ["one", "two", "three"] {
@@ -248,8 +253,8 @@
 }
 
 fn save(replica: &mut Replica, now: Time) {
-    while let Some((ticket, _)) = replica.take().save.last() {
-        replica.saved(now, *ticket);
+    while let Some((ticket, _)) = replica.take_ready().records.last() {
+        replica.persisted(now, *ticket);
     }
 }
 
@@ -258,9 +263,9 @@
     const CHUNKS: usize = 2_000;
     let mut replica = alone();
     let state = Counted::new(CHUNKS);
-    replica.snapshot(0, state.clone());
+    replica.compact(0, state.clone());
     replica.propose(0, Bytes::from("four")).expect("it leads");
-    let output = replica.take();
+    let output = replica.take_ready();
     let records = output.rewrite.expect("it is compacted").records;
     assert_eq!(state.made(), 0);
     // When its size is asked for, which is needed first: it is told without making any.
@@ -278,13 +283,13 @@
     // Then who has them restores it in bounded parts, with bytes that are the records' own.
     let mut again = Replica::recover(member(1), vec![], wide(), &one, 2, 0).expect("its own records");
     let (mut chunks, mut takes) = (0, 0);
-    while again.has_backlog() {
-        assert!(!again.leads() && again.next() == 0);
-        let output = again.take();
+    while again.has_unapplied_entries() {
+        assert!(!again.is_serving_leader() && again.next_timeout() == 0);
+        let output = again.take_ready();
         assert!(!is_more_than_bounded(&output));
         takes += 1;
         for step in output.restore {
-            if let Restore::Chunk(chunk) = step {
+            if let RestoreStep::Chunk(chunk) = step {
                 assert_eq!(chunk, state.chunk(chunks));
                 let record = &one[1 + chunks];
                 assert!(record.as_ptr_range().contains(&chunk.as_ptr()), "piece {chunks} is a copy");
@@ -299,8 +304,8 @@
 #[test]
 fn given_records_with_a_piece_missing_twice_or_in_another_place_when_they_are_read_then_that_is_an_error() {
     let mut replica = alone();
-    replica.snapshot(0, Counted::new(4));
-    let whole: Vec<Bytes> = replica.take().rewrite.expect("it is compacted").records.iter().collect();
+    replica.compact(0, Counted::new(4));
+    let whole: Vec<Bytes> = replica.take_ready().rewrite.expect("it is compacted").records.iter().collect();
     let read = |records: &[Bytes]| Replica::recover(member(1), vec![], wide(), records, 1, 0).is_ok();
     assert!(read(&whole));
     for place in 1..=4 {
@@ -319,17 +324,18 @@
 #[test]
 fn given_a_snapshot_without_any_pieces_when_it_is_read_then_an_empty_state_is_restored() {
     let mut leader = alone();
-    leader.snapshot(0, Arc::new(InMemoryState::new(Bytes::new(), 10)));
-    let records = leader.take().rewrite.expect("it is compacted").records;
+    leader.compact(0, Arc::new(InMemoryState::new(Bytes::new(), 10)));
+    let records = leader.take_ready().rewrite.expect("it is compacted").records;
     let records: Vec<Bytes> = records.iter().collect();
     let mut again = Replica::recover(member(1), vec![], wide(), &records, 1, 0).expect("its own records");
-    assert!(matches!(again.take().restore[..], [Restore::Begin, Restore::Finish(_)]));
+    assert!(matches!(again.take_ready().restore[..], [RestoreStep::Begin, RestoreStep::Finish(_)]));
 }
 
 /// A member that was away for so many changes gets a snapshot of many pieces over bad links, while the leader changes and
 /// compacts again; in the middle of it, this happens.
 fn transfer(seed: u64, what: impl Fn(&mut World, MemberId, MemberId)) {
-    let mut world = World::new(seed, &[1, 2, 3], Settings { compact_bytes: 2_000, ..settings(2) });
+    let mut world =
+        World::new(seed, &[1, 2, 3], Settings { compaction_threshold_bytes: 2_000, ..settings(2) });
     let leader = world.elect();
     let far = others(leader)[0];
     world.power_off(far);
@@ -390,7 +396,8 @@
 fn given_a_snapshot_that_has_come_whole_when_the_disk_has_not_written_it_then_it_counts_for_nothing() {
     const CHANGES: u64 = 500;
     for seed in 0..10 {
-        let mut world = World::new(seed, &[1, 2, 3], Settings { compact_bytes: 2_000, ..settings(2) });
+        let mut world =
+            World::new(seed, &[1, 2, 3], Settings { compaction_threshold_bytes: 2_000, ..settings(2) });
         let leader = world.elect();
         let (far, near) = (others(leader)[0], others(leader)[1]);
         world.power_off(far);
@@ -400,8 +407,8 @@
         }
         world.run_for(SECOND);
         let lacks = |world: &World| {
-            let behind = world.replica(leader).behind();
-            behind.iter().find(|(id, _)| *id == far).map_or(0, |(_, entries)| *entries)
+            let behind = world.replica(leader).replication_lag();
+            behind.iter().find(|lag| lag.member == far).map_or(0, |lag| lag.entries)
         };
         // Given a disk that takes very long.
         world.nodes.get_mut(&far).expect("a member").disk_delay = 10_000 * SECOND;
--- a/crates/consensus/tests/catch_up.rs
+++ b/crates/consensus/tests/catch_up.rs
@@ -7,7 +7,7 @@
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rainlug_consensus::{MemberId, Refused, Settings, Time};
+use rainlug_consensus::{MemberId, ProposeError, Settings, Time};
 use rand::seq::SliceRandom;
 
 /// Between two changes.
@@ -27,7 +27,7 @@
 
 /// Entries kept for who lacks them stand to one message as they do in the tier.
 fn wide() -> Settings {
-    Settings { lag_bytes: 6_400, compact_bytes: 6_400, ..settings(2) }
+    Settings { max_lag_bytes: 6_400, compaction_threshold_bytes: 6_400, ..settings(2) }
 }
 
 /// How a member comes to be behind.
@@ -133,13 +133,13 @@
 
 /// Entries that a leader keeps for who lacks them.
 fn kept_entries() -> usize {
-    wide().lag_bytes / (8 + PADDING + 32)
+    wide().max_lag_bytes / (8 + PADDING + 32)
 }
 
-fn most_bytes(took: &CaughtUp) -> usize {
-    let heartbeats = usize::try_from(took.time / wide().heartbeat).expect("few") + 2;
+fn max_message_bytes(took: &CaughtUp) -> usize {
+    let heartbeats = usize::try_from(took.time / wide().heartbeat_interval).expect("few") + 2;
     let state = took.changes * CHANGE_IN_STATE;
-    let chunks = state.div_ceil(wide().most_bytes) + 1;
+    let chunks = state.div_ceil(wide().max_message_bytes) + 1;
     let entries = kept_entries().min(took.changes) + took.meanwhile;
     state + chunks * (CHUNK_HEADER + MESSAGE_HEAD) + entries * CHANGE_ON_WIRE + heartbeats * MESSAGE_HEAD
 }
@@ -147,8 +147,8 @@
 fn most_time(took: &CaughtUp) -> Time {
     // There and back; the snapshot's rewrite and the entries' records; and until the first word of the leader.
     const ROUND: Time = 2 * MILLIS + MILLIS / 2;
-    let chunks = (took.changes * CHANGE_IN_STATE).div_ceil(wide().most_bytes);
-    2 * wide().heartbeat + ROUND * Time::try_from(chunks + 4).expect("few") + 3 * PACE
+    let chunks = (took.changes * CHANGE_IN_STATE).div_ceil(wide().max_message_bytes);
+    2 * wide().heartbeat_interval + ROUND * Time::try_from(chunks + 4).expect("few") + 3 * PACE
 }
 
 #[test]
@@ -166,12 +166,12 @@
                 traffic.most_in_flight,
             );
             assert!(*time <= most_time(&took), "{absence:?}, {changes}: {took:?}, {}", most_time(&took));
-            assert!(traffic.bytes <= most_bytes(&took), "{absence:?}, {changes}: {took:?}");
+            assert!(traffic.bytes <= max_message_bytes(&took), "{absence:?}, {changes}: {took:?}");
             // While it is frozen, signs of life gather.
             let signs = if absence == Absence::Frozen { changes * MESSAGE_HEAD / 10 } else { 0 };
-            let most = MOST_IN_FLIGHT * (wide().most_bytes + CHUNK_HEADER) + signs;
+            let most = MOST_IN_FLIGHT * (wide().max_message_bytes + CHUNK_HEADER) + signs;
             assert!(traffic.most_in_flight <= most, "{absence:?}, {changes}: {took:?}");
-            assert!(changes > 2 * kept_entries() || traffic.snapshot_bytes <= most_bytes(&took) / 2);
+            assert!(changes > 2 * kept_entries() || traffic.snapshot_bytes <= max_message_bytes(&took) / 2);
         }
     }
 }
@@ -188,7 +188,7 @@
 /// A snapshot's transfer during changes that are compacted before it ends, over links that double so many of the messages: whether
 /// about one transfer was enough.
 fn transfers_once_while_changes_compact(twice: f64) -> bool {
-    let settings = Settings { compact_bytes: 1_000, ..wide() };
+    let settings = Settings { compaction_threshold_bytes: 1_000, ..wide() };
     let (mut world, leader) = three(3, settings);
     let far = others(leader)[0];
     world.power_off(far);
@@ -269,7 +269,7 @@
 
 /// Two that are up, of which one was away for all changes; what broke, if anything did.
 fn elect_among_stale(seed: u64, fault: Fault) -> Option<String> {
-    let (mut world, leader) = three(seed, Settings { compact_bytes: 1_000, ..wide() });
+    let (mut world, leader) = three(seed, Settings { compaction_threshold_bytes: 1_000, ..wide() });
     world.fault = fault;
     let (stale, complete) = (others(leader)[0], others(leader)[1]);
     world.power_off(stale);
@@ -331,19 +331,26 @@
         world.isolate(next);
         let ticket = world.read(next).expect("it is up");
         let command = world.propose(next, PADDING).expect("it takes it");
-        assert!(!world.replica(next).leads(), "seed {seed}");
+        assert!(!world.replica(next).is_serving_leader(), "seed {seed}");
         // A change of the group is begun, as it needs a quorum of the old group too; no other one beside it.
         let group: Vec<u64> = others(leader).into_iter().collect();
         assert!(world.change(next, members(&group)).is_ok(), "seed {seed}");
-        assert_eq!(world.change(next, members(&[1, 2, 3])), Err(Refused::Busy), "seed {seed}");
+        assert_eq!(
+            world.change(next, members(&[1, 2, 3])),
+            Err(ProposeError::ChangeInProgress),
+            "seed {seed}"
+        );
         // When time goes by, then nothing is answered or committed.
         world.run_for(SECOND);
         assert!(
-            matches!(world.nodes[&next].reads.get(&ticket), Some(Err(Refused::NotLeader(_)))),
+            matches!(world.nodes[&next].reads.get(&ticket), Some(Err(ProposeError::NotLeader(_)))),
             "seed {seed}"
         );
         assert!(!world.is_committed(command), "seed {seed}");
-        assert!(!world.replica(next).members().1, "seed {seed}: nor is the change of the group");
+        assert!(
+            !world.replica(next).is_replica_set_committed(),
+            "seed {seed}: nor is the change of the group"
+        );
         world.cuts.clear();
         let next = world.elect();
         let ticket = world.read(next).expect("it is up");
@@ -355,7 +362,7 @@
 #[test]
 fn given_all_lost_power_when_a_leader_begins_with_a_snapshot_then_it_answers_with_the_newest_state() {
     for seed in 0..20 {
-        let (mut world, _) = three(seed, Settings { compact_bytes: 1_000, ..wide() });
+        let (mut world, _) = three(seed, Settings { compaction_threshold_bytes: 1_000, ..wide() });
         change(&mut world, 200);
         for id in 1..=3 {
             world.power_off(id);
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -7,8 +7,8 @@
 
 use bytes::Bytes;
 use rainlug_consensus::{
-    InMemoryState, Index, MAX_APPLY_BYTES, MAX_APPLY_ENTRIES, Member, MemberId, Output, Records, Refused,
-    Replica, Restore, Rewrite, Settings, Term, Time,
+    InMemoryState, Index, MAX_APPLY_BYTES, MAX_APPLY_ENTRIES, Member, MemberId, ProposeError, Ready, Records,
+    Replica, RestoreStep, Rewrite, Settings, Term, Time,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -18,12 +18,12 @@
 
 pub fn settings(copies: usize) -> Settings {
     Settings {
-        heartbeat: 50 * MILLIS,
-        election: 200 * MILLIS,
-        copies,
-        most_bytes: 400,
-        compact_bytes: 4_000,
-        lag_bytes: 1_000,
+        heartbeat_interval: 50 * MILLIS,
+        election_timeout: 200 * MILLIS,
+        min_replicas: copies,
+        max_message_bytes: 400,
+        compaction_threshold_bytes: 4_000,
+        max_lag_bytes: 1_000,
     }
 }
 
@@ -33,7 +33,7 @@
         id,
         name: format!("member-{id}"),
         zone: format!("zone-{}", id % 3),
-        at: SocketAddr::from(([10, 0, 0, 1], port)),
+        address: SocketAddr::from(([10, 0, 0, 1], port)),
     }
 }
 
@@ -64,7 +64,7 @@
     pub lost: bool,
     /// How long its disk takes, and the chance that it takes long.
     pub disk_delay: Time,
-    pub reads: BTreeMap<u64, Result<(), Refused>>,
+    pub reads: BTreeMap<u64, Result<(), ProposeError>>,
     wants_snapshot: bool,
     /// Writes that this life has asked for.
     pub requested: usize,
@@ -256,7 +256,7 @@
         );
         match replica {
             Ok(replica) => {
-                node.recovering = replica.has_backlog();
+                node.recovering = replica.has_unapplied_entries();
                 node.replica = Some(replica);
             }
             Err(odd) => self.violate(format!("{id} cannot read its own records: {odd}")),
@@ -335,13 +335,15 @@
     /// Who leads in the newest term.
     pub fn leader(&self) -> Option<MemberId> {
         let up = self.nodes.iter().filter_map(|(&id, node)| Some((id, node.replica.as_ref()?)));
-        up.filter(|(_, replica)| replica.leads()).max_by_key(|(_, replica)| replica.term()).map(|(id, _)| id)
+        up.filter(|(_, replica)| replica.is_serving_leader())
+            .max_by_key(|(_, replica)| replica.term())
+            .map(|(id, _)| id)
     }
 
     /// Who is elected in the newest term, though it may not serve yet.
     pub fn elected(&self) -> Option<MemberId> {
         let up = self.nodes.iter().filter_map(|(&id, node)| Some((id, node.replica.as_ref()?)));
-        let elected = up.filter(|(_, replica)| replica.is_elected());
+        let elected = up.filter(|(_, replica)| replica.is_leader());
         elected.max_by_key(|(_, replica)| replica.term()).map(|(id, _)| id)
     }
 
@@ -363,14 +365,14 @@
         self.next_ticket += 1;
         let ticket = self.next_ticket;
         self.asked.insert(ticket, self.history.len());
-        replica.read(now, ticket);
+        replica.read_index(now, ticket);
         self.pump(id);
         Some(ticket)
     }
-    pub fn change(&mut self, id: MemberId, members: Vec<Member>) -> Result<Index, Refused> {
+    pub fn change(&mut self, id: MemberId, members: Vec<Member>) -> Result<Index, ProposeError> {
         let now = self.now;
         let replica = self.nodes.get_mut(&id).and_then(|node| node.replica.as_mut()).expect("it is up");
-        let changed = replica.change(now, members);
+        let changed = replica.change_replica_set(now, members);
         self.pump(id);
         changed
     }
@@ -421,18 +423,18 @@
             let Some(node) = self.nodes.get_mut(&id) else { return };
             let Some(replica) = node.replica.as_mut() else { return };
             if std::mem::take(&mut node.wants_snapshot) {
-                let source = InMemoryState::new(encode(&node.applied), self.settings.most_bytes);
-                replica.snapshot(now, Arc::new(source));
+                let source = InMemoryState::new(encode(&node.applied), self.settings.max_message_bytes);
+                replica.compact(now, Arc::new(source));
             }
-            let output = replica.take();
+            let output = replica.take_ready();
             let mut wrong = vec![];
             if is_more_than_bounded(&output) {
                 wrong.push(format!("{id} hands out more than the bound"));
             }
             let term = replica.term();
             let leading = replica.leader().is_some_and(|leader| leader.id == id);
-            let leads = replica.leads();
-            node.wants_snapshot = output.compact;
+            let leads = replica.is_serving_leader();
+            node.wants_snapshot = output.needs_compaction;
             let mut writes = 0;
             let mut newest = 0;
             if let Some(rewrite) = output.rewrite {
@@ -440,7 +442,7 @@
                 node.writes.push_back(Write::Rewrite(rewrite));
                 writes += 1;
             }
-            for (ticket, record) in output.save {
+            for (ticket, record) in output.records {
                 assert!(ticket > newest, "tickets rise");
                 newest = ticket;
                 node.writes.push_back(Write::Append(ticket, record));
@@ -521,11 +523,11 @@
             }
             if self.fault == Fault::EarlySaved && newest > 0 {
                 if let Some(replica) = self.nodes.get_mut(&id).and_then(|node| node.replica.as_mut()) {
-                    replica.saved(now, newest);
+                    replica.persisted(now, newest);
                 }
                 continue;
             }
-            if !output.compact {
+            if !output.needs_compaction {
                 return;
             }
         }
@@ -546,7 +548,7 @@
                 }
                 if let Some(replica) = node.replica.as_mut() {
                     self.delivered += 1;
-                    if let Err(odd) = replica.heard(now, &bytes) {
+                    if let Err(odd) = replica.receive(now, &bytes) {
                         self.violate(format!("{to} cannot read: {odd}"));
                     }
                     self.pump(to);
@@ -569,7 +571,7 @@
                 if self.fault != Fault::EarlySaved
                     && let Some(replica) = node.replica.as_mut()
                 {
-                    replica.saved(now, newest);
+                    replica.persisted(now, newest);
                     self.pump(id);
                 }
             }
@@ -590,7 +592,9 @@
             let due = self
                 .nodes
                 .iter()
-                .filter_map(|(&id, node)| Some((node.replica.as_ref()?.next().max(node.frozen_until), id)))
+                .filter_map(|(&id, node)| {
+                    Some((node.replica.as_ref()?.next_timeout().max(node.frozen_until), id))
+                })
                 .min();
             let next = event.into_iter().chain(due.map(|(at, _)| at)).min().unwrap_or(Time::MAX);
             if next > end || self.violation.is_some() {
@@ -605,8 +609,11 @@
             {
                 let now = self.now;
                 if let Some(replica) = self.nodes.get_mut(&id).and_then(|node| node.replica.as_mut()) {
-                    replica.due(now);
-                    assert!(replica.has_backlog() || replica.next() > now, "it is due at once again");
+                    replica.handle_timeout(now);
+                    assert!(
+                        replica.has_unapplied_entries() || replica.next_timeout() > now,
+                        "it is due at once again"
+                    );
                 }
                 self.pump(id);
             } else if let Some((_, event)) = self.events.pop_first() {
@@ -650,15 +657,20 @@
     }
 
     /// A step of building another state; the state once it is whole.
-    fn build(&mut self, id: MemberId, step: Restore, wrong: &mut Vec<String>) -> Option<(Index, Vec<u8>)> {
+    fn build(
+        &mut self,
+        id: MemberId,
+        step: RestoreStep,
+        wrong: &mut Vec<String>,
+    ) -> Option<(Index, Vec<u8>)> {
         match step {
-            Restore::Begin => self.building = Some(vec![]),
-            Restore::Abandon => self.building = None,
-            Restore::Chunk(chunk) => match &mut self.building {
+            RestoreStep::Begin => self.building = Some(vec![]),
+            RestoreStep::Abandon => self.building = None,
+            RestoreStep::Chunk(chunk) => match &mut self.building {
                 Some(building) => building.extend_from_slice(&chunk),
                 None => wrong.push(format!("{id} gets a piece of nothing")),
             },
-            Restore::Finish(index) => match self.building.take() {
+            RestoreStep::Finish(index) => match self.building.take() {
                 Some(state) => return Some((index, state)),
                 None => wrong.push(format!("{id} is to finish nothing")),
             },
@@ -672,9 +684,9 @@
 }
 
 /// Whether a state machine gets more to do at once than it may: one piece or command alone may be longer.
-pub fn is_more_than_bounded(output: &Output) -> bool {
+pub fn is_more_than_bounded(output: &Ready) -> bool {
     let chunks = output.restore.iter().map(|step| match step {
-        Restore::Chunk(chunk) => chunk.len(),
+        RestoreStep::Chunk(chunk) => chunk.len(),
         _ => 0,
     });
     let commands = output.committed.iter().map(|(_, command)| command.len());
--- a/crates/consensus/tests/courses.rs
+++ b/crates/consensus/tests/courses.rs
@@ -80,7 +80,7 @@
                 let newest =
                     world.nodes.values().filter_map(|node| Some(node.replica.as_ref()?.term())).max();
                 let replica = world.replica(leader);
-                let (group, settled) = replica.members();
+                let (group, settled) = (replica.members(), replica.is_replica_set_committed());
                 let gone = group.iter().filter(|member| world.nodes[&member.id].lost).count();
                 let size = group.len();
                 if Some(replica.term()) == newest
@@ -97,7 +97,8 @@
             }
             _ => {
                 let Some(leader) = leader else { continue };
-                let (group, settled) = world.replica(leader).members();
+                let (group, settled) =
+                    (world.replica(leader).members(), world.replica(leader).is_replica_set_committed());
                 let group = group.to_vec();
                 if settled && change(&mut world, leader, group, &mut spares) {
                     had.changes += 1;
@@ -130,7 +131,8 @@
     let caught_up = last.is_some_and(|last| {
         world.run_until(60 * SECOND, |world| {
             let Some(leader) = world.leader() else { return false };
-            let (group, settled) = world.replica(leader).members();
+            let (group, settled) =
+                (world.replica(leader).members(), world.replica(leader).is_replica_set_committed());
             settled
                 && group.iter().all(|member| {
                     let node = &world.nodes[&member.id];
@@ -166,7 +168,7 @@
         }
         return done;
     }
-    let least = 2 * world.settings.copies - 1;
+    let least = 2 * world.settings.min_replicas - 1;
     match world.rng.random_range(0..3) {
         0 if group.len() < least + 2 => {
             world.next_id += 1;
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -11,16 +11,16 @@
 use rainlug_consensus::{Index, Member, MemberId, Replica, Settings, Time};
 
 const SETTINGS: Settings = Settings {
-    heartbeat: 50,
-    election: 200,
-    copies: 2,
-    most_bytes: 1000,
-    compact_bytes: 100_000,
-    lag_bytes: 25_000,
+    heartbeat_interval: 50,
+    election_timeout: 200,
+    min_replicas: 2,
+    max_message_bytes: 1000,
+    compaction_threshold_bytes: 100_000,
+    max_lag_bytes: 25_000,
 };
 
 fn member(id: MemberId) -> Member {
-    Member { id, name: id.to_string(), zone: "a".to_owned(), at: ([127, 0, 0, 1], 1).into() }
+    Member { id, name: id.to_string(), zone: "a".to_owned(), address: ([127, 0, 0, 1], 1).into() }
 }
 
 #[derive(Clone)]
@@ -101,7 +101,9 @@
             if !node.writes.is_empty() {
                 actions.push(Action::Sync(place));
             }
-            if self.proposals > 0 && node.replica.leader().is_some_and(|leader| leader == node.replica.me()) {
+            if self.proposals > 0
+                && node.replica.leader().is_some_and(|leader| leader == node.replica.local_member())
+            {
                 actions.push(Action::Propose(place));
             }
             if self.timeouts > 0 {
@@ -120,7 +122,7 @@
                 let (place, bytes) = self.messages.remove(message);
                 let node = &mut self.nodes[place];
                 node.past = chain(node.past, &bytes);
-                node.replica.heard(node.now, &bytes).map_err(|odd| odd.to_string())?;
+                node.replica.receive(node.now, &bytes).map_err(|odd| odd.to_string())?;
                 self.pump(place)
             }
             Action::Sync(place) => {
@@ -128,7 +130,7 @@
                 node.past = chain(node.past, "sync");
                 let newest = node.writes.last().map_or(0, |(ticket, _)| *ticket);
                 node.disk.extend(node.writes.drain(..).map(|(_, record)| record));
-                node.replica.saved(node.now, newest);
+                node.replica.persisted(node.now, newest);
                 self.pump(place)
             }
             Action::Propose(place) => {
@@ -142,12 +144,12 @@
                 self.timeouts = self.timeouts.saturating_sub(1);
                 let node = &mut self.nodes[place];
                 node.past = chain(node.past, "timeout");
-                let end = node.now + 3 * SETTINGS.election;
+                let end = node.now + 3 * SETTINGS.election_timeout;
                 let before = self.messages.len();
                 while self.nodes[place].now < end && self.messages.len() == before {
                     let node = &mut self.nodes[place];
-                    node.now = node.replica.next();
-                    node.replica.due(node.now);
+                    node.now = node.replica.next_timeout();
+                    node.replica.handle_timeout(node.now);
                     self.pump(place)?;
                 }
                 Ok(())
@@ -156,7 +158,8 @@
                 self.losses -= 1;
                 // Time passes, so all may vote, and one of those left may stand.
                 self.timeouts += 1;
-                let now = self.nodes.iter().map(|node| node.now).max().unwrap_or(0) + 10 * SETTINGS.election;
+                let now = self.nodes.iter().map(|node| node.now).max().unwrap_or(0)
+                    + 10 * SETTINGS.election_timeout;
                 // What was said before is heard nowhere any more.
                 self.messages.clear();
                 for (place, node) in self.nodes.iter_mut().enumerate() {
@@ -164,7 +167,7 @@
                     node.now = now;
                     node.writes.clear();
                     node.applied.clear();
-                    let mut me = node.replica.me().clone();
+                    let mut me = node.replica.local_member().clone();
                     let mut founding: Vec<Member> = (1..=3).map(member).collect();
                     if place == lost {
                         node.past = chain(node.past, "lost");
@@ -183,8 +186,8 @@
     }
     fn pump(&mut self, place: usize) -> Result<(), String> {
         let node = &mut self.nodes[place];
-        let output = node.replica.take();
-        node.writes.extend(output.save);
+        let output = node.replica.take_ready();
+        node.writes.extend(output.records);
         for command in output.committed {
             let at = node.applied.len();
             node.applied.push(command.clone());
@@ -195,7 +198,7 @@
             }
         }
         for (to, bytes) in output.messages {
-            if let Some(place) = self.nodes.iter().position(|node| node.replica.me().id == to.id) {
+            if let Some(place) = self.nodes.iter().position(|node| node.replica.local_member().id == to.id) {
                 self.messages.push((place, bytes));
             }
         }
@@ -219,7 +222,7 @@
         let Some(next) = next else { break };
         state.act(next, Amnesia::NewId).expect("sound");
     }
-    assert!(state.nodes[0].replica.leads(), "the first leads");
+    assert!(state.nodes[0].replica.is_serving_leader(), "the first leads");
     state.timeouts = 0;
     state
 }
--- a/crates/consensus/tests/fencing.rs
+++ b/crates/consensus/tests/fencing.rs
@@ -71,7 +71,7 @@
         let replica = self.world.replica(leader);
         let newest = self.world.nodes.values().filter_map(|node| Some(node.replica.as_ref()?.term())).max();
         let current = Some(replica.term()) == newest && replica.term() >= self.world.leads_seen;
-        (current && replica.is_handed_over()).then(|| (leader, replica.members().0.to_vec()))
+        (current && replica.is_replica_set_durable()).then(|| (leader, replica.members().to_vec()))
     }
 
     /// Members of a group that are lost, or fenced and so no part of what bears the next loss.
@@ -129,7 +129,8 @@
     /// The leader gives a seat that is lost or fenced to a spare; or swaps, grows or shrinks.
     fn change(&mut self) {
         let Some(leader) = self.world.elected() else { return };
-        let (group, settled) = self.world.replica(leader).members();
+        let (group, settled) =
+            (self.world.replica(leader).members(), self.world.replica(leader).is_replica_set_committed());
         let mut group = group.to_vec();
         if !settled {
             return;
@@ -219,7 +220,7 @@
 
     fn replace_missing(&mut self) {
         let Some(leader) = self.world.elected() else { return };
-        if self.missing(self.world.replica(leader).members().0) > 0 {
+        if self.missing(self.world.replica(leader).members()) > 0 {
             if self.spares.iter().all(|spare| self.fences.has(spare.id)) {
                 self.add_spare();
             }
@@ -328,7 +329,7 @@
     assert!(!world.is_committed(alone));
     world.change(left, vec![member(left), member(new)]).expect("the group is settled");
     world.commit(alone);
-    assert!(world.run_until(SECOND, |world| world.replica(left).is_handed_over()));
+    assert!(world.run_until(SECOND, |world| world.replica(left).is_replica_set_durable()));
     // The next loss, of the one that held all: the newcomer does now.
     let newest = world.wipe(left);
     world.fence(new, &[lost, left]);
@@ -350,7 +351,7 @@
     assert!(world.run_until(5 * SECOND, |world| world.elected() == Some(left)));
     world.add(3, vec![]);
     world.change(left, vec![member(left), member(3)]).expect("the group is settled");
-    assert!(world.run_until(5 * SECOND, |world| world.replica(left).is_handed_over()));
+    assert!(world.run_until(5 * SECOND, |world| world.replica(left).is_replica_set_durable()));
     // The one that is away knows nothing of it, and meets nobody of the new group.
     world.start(away);
     world.cut(away, left);
--- a/crates/consensus/tests/recovery.rs
+++ b/crates/consensus/tests/recovery.rs
@@ -22,7 +22,7 @@
 }
 
 fn compacts_often() -> Settings {
-    Settings { compact_bytes: 1_000, lag_bytes: 1_000, ..settings(2) }
+    Settings { compaction_threshold_bytes: 1_000, max_lag_bytes: 1_000, ..settings(2) }
 }
 
 /// What a course with a crash came to.
--- a/crates/consensus/tests/stories.rs
+++ b/crates/consensus/tests/stories.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{MILLIS, SECOND, World, member, members, settings};
-use rainlug_consensus::{Refused, Replica};
+use rainlug_consensus::{ProposeError, Replica};
 
 fn three(seed: u64) -> (World, u64) {
     let mut world = World::new(seed, &[1, 2, 3], settings(2));
@@ -30,7 +30,7 @@
         assert_eq!(world.nodes[&id].applied.len(), 1);
         assert_eq!(world.replica(id).leader(), Some(&member(leader)));
     }
-    assert!(world.replica(leader).behind().iter().all(|(_, entries)| *entries == 0));
+    assert!(world.replica(leader).replication_lag().iter().all(|lag| lag.entries == 0));
     world.sound();
 }
 
@@ -78,7 +78,7 @@
         world.cut(other, leader);
     }
     let term = world.replica(leader).term();
-    assert!(world.run_until(SECOND, |world| !world.replica(leader).leads()));
+    assert!(world.run_until(SECOND, |world| !world.replica(leader).is_serving_leader()));
     assert!(world.run_until(2 * SECOND, |world| world.leader().is_some_and(|next| next != leader)));
     assert!(world.replica(world.leader().expect("one leads")).term() > term);
     world.sound();
@@ -126,7 +126,8 @@
         assert!(world.nodes[&next].applied.iter().any(|(_, id)| *id == command));
         let group = members(&[left, far, new]);
         world.change(next, group.clone()).expect("the group is at rest");
-        assert!(world.run_until(5 * SECOND, |world| world.replica(new).members() == (&group[..], true)));
+        assert!(world.run_until(5 * SECOND, |world| world.replica(new).members() == &group[..]
+            && world.replica(new).is_replica_set_committed()));
         world.run_for(SECOND);
         assert_eq!(world.nodes[&new].applied, world.history);
         world.sound();
@@ -140,8 +141,8 @@
     let stays = others(leader)[1];
     let new = world.wipe(gone);
     world.change(leader, members(&[leader, stays, new])).expect("the group is at rest");
-    assert!(world.run_until(5 * SECOND, |world| world.replica(new).members().1
-        && !world.replica(new).members().0.is_empty()));
+    assert!(world.run_until(5 * SECOND, |world| world.replica(new).is_replica_set_committed()
+        && !world.replica(new).members().is_empty()));
     world.run_for(SECOND);
     for id in [leader, stays, new] {
         world.power_off(id);
@@ -162,9 +163,9 @@
         ids.push(id);
         world.change(leader, members(&ids)).expect("the group is at rest");
         // One change at a time.
-        assert_eq!(world.change(leader, members(&[1, 2, 3])), Err(Refused::Busy));
-        assert!(world.run_until(5 * SECOND, |world| world.replica(id).members().0.len() == ids.len()
-            && world.replica(id).members().1));
+        assert_eq!(world.change(leader, members(&[1, 2, 3])), Err(ProposeError::ChangeInProgress));
+        assert!(world.run_until(5 * SECOND, |world| world.replica(id).members().len() == ids.len()
+            && world.replica(id).is_replica_set_committed()));
     }
     let command = world.propose(leader, 0).expect("it leads");
     world.commit(command);
@@ -184,7 +185,8 @@
     let left = leader;
     assert!(world.run_until(5 * SECOND, |world| world.leader().is_some_and(|next| next != left)));
     leader = world.leader().expect("one leads");
-    assert_eq!(world.replica(leader).members(), (&members(&ids)[..], true));
+    assert_eq!(world.replica(leader).members(), &members(&ids)[..]);
+    assert!(world.replica(leader).is_replica_set_committed());
     world.run_for(5 * SECOND);
     assert_eq!(world.leader(), Some(leader));
     world.sound();
@@ -195,11 +197,14 @@
     let (mut world, leader) = three(10);
     world.add(4, vec![]);
     world.add(5, vec![]);
-    assert_eq!(world.change(leader, members(&[1, 2, 3, 4, 5])), Err(Refused::Busy));
-    assert_eq!(world.change(leader, members(&[])), Err(Refused::Busy));
-    assert_eq!(world.change(leader, members(&[1, 2, 2])), Err(Refused::Busy));
+    assert_eq!(world.change(leader, members(&[1, 2, 3, 4, 5])), Err(ProposeError::ChangeInProgress));
+    assert_eq!(world.change(leader, members(&[])), Err(ProposeError::ChangeInProgress));
+    assert_eq!(world.change(leader, members(&[1, 2, 2])), Err(ProposeError::ChangeInProgress));
     let follower = others(leader)[0];
-    assert_eq!(world.change(follower, members(&[1, 2, 3, 4])), Err(Refused::NotLeader(Some(member(leader)))));
+    assert_eq!(
+        world.change(follower, members(&[1, 2, 3, 4])),
+        Err(ProposeError::NotLeader(Some(member(leader))))
+    );
 }
 
 #[test]
@@ -234,11 +239,11 @@
     assert_ne!(next, leader);
     let command = world.propose(next, 0).expect("it leads");
     world.commit(command);
-    assert!(world.replica(leader).leads(), "it does not know yet");
+    assert!(world.replica(leader).is_serving_leader(), "it does not know yet");
     // The first that it does when it wakes is to answer a read.
     world.run_until(2 * SECOND, |world| world.now >= world.nodes[&leader].frozen_until - MILLIS);
     let ticket = world.read(leader).expect("it is up");
-    assert!(matches!(world.nodes[&leader].reads[&ticket], Err(Refused::NotLeader(_))));
+    assert!(matches!(world.nodes[&leader].reads[&ticket], Err(ProposeError::NotLeader(_))));
     world.run_for(2 * SECOND);
     assert_eq!(world.replica(leader).leader(), Some(&member(next)));
     world.sound();
@@ -267,7 +272,7 @@
     world.isolate(leader);
     let ticket = world.read(leader).expect("it is up");
     world.run_for(SECOND);
-    assert!(matches!(world.nodes[&leader].reads[&ticket], Err(Refused::NotLeader(_))));
+    assert!(matches!(world.nodes[&leader].reads[&ticket], Err(ProposeError::NotLeader(_))));
     world.sound();
 }
 
@@ -286,10 +291,10 @@
     let mut replica = Replica::new(member(1), members(&[1, 2, 3]), settings(2), 1, 0);
     for length in 0..200_u8 {
         let bytes: bytes::Bytes = (0..length).map(|byte| byte.wrapping_mul(37)).collect();
-        let _ = replica.heard(0, &bytes);
+        let _ = replica.receive(0, &bytes);
     }
     assert_eq!(replica.term(), 0);
-    assert!(replica.take().messages.is_empty());
+    assert!(replica.take_ready().messages.is_empty());
     let record = bytes::Bytes::from_static(&[9, 9, 9]);
     assert!(Replica::recover(member(1), vec![], settings(2), &[record], 1, 0).is_err());
 }
@@ -310,6 +315,6 @@
         }
         let since = world.now;
         assert!(world.run_until(2 * SECOND, |world| world.leader().is_some()));
-        assert!(world.now - since <= world.settings.election, "seed {seed}: {}", world.now - since);
+        assert!(world.now - since <= world.settings.election_timeout, "seed {seed}: {}", world.now - since);
     }
 }
--- a/crates/consensus/tests/transfer.rs
+++ b/crates/consensus/tests/transfer.rs
@@ -48,7 +48,10 @@
     );
     assert!(lacks(&world) <= 2, "it does not catch up in five seconds: {restores} snapshots, {bytes} bytes");
     assert_eq!(restores, 1);
-    assert!(bytes <= state + (state / settings.most_bytes + 1) * CHUNK_HEADER, "{bytes} bytes for {state}");
+    assert!(
+        bytes <= state + (state / settings.max_message_bytes + 1) * CHUNK_HEADER,
+        "{bytes} bytes for {state}"
+    );
 }
 
 #[test]
@@ -59,12 +62,16 @@
 
 #[test]
 fn given_a_large_state_when_one_is_back_then_it_gets_the_newest_snapshot_and_no_older_one() {
-    one_snapshot_is_enough(Settings { lag_bytes: 6_400, compact_bytes: 6_400, ..settings(2) }, 1_000, 200);
+    one_snapshot_is_enough(
+        Settings { max_lag_bytes: 6_400, compaction_threshold_bytes: 6_400, ..settings(2) },
+        1_000,
+        200,
+    );
 }
 
 #[test]
 fn given_a_follower_that_acknowledges_late_when_much_is_proposed_then_few_bytes_are_on_their_way_to_it() {
-    let settings = Settings { lag_bytes: 1_000_000, ..settings(2) };
+    let settings = Settings { max_lag_bytes: 1_000_000, ..settings(2) };
     let mut world = World::new(3, &[1, 2, 3], settings);
     let leader = world.elect();
     let slow: MemberId = (1..=3).find(|&id| id != leader).expect("a follower");
@@ -78,6 +85,6 @@
     // One message may go beyond the bound, and each has a head.
     let sent = world.traffic[&slow].bytes;
     println!("{sent} bytes");
-    assert!(sent < 2 * (settings.most_bytes + CHUNK_HEADER), "{sent} bytes on their way");
+    assert!(sent < 2 * (settings.max_message_bytes + CHUNK_HEADER), "{sent} bytes on their way");
     world.sound();
 }
--- a/crates/consensus/tests/vacating.rs
+++ b/crates/consensus/tests/vacating.rs
@@ -19,25 +19,25 @@
 
     /// Carries out what it wants; its messages.
     fn carry_out(&mut self, now: Time) -> Vec<(Member, Bytes)> {
-        let output = self.replica.take();
+        let output = self.replica.take_ready();
         let mut ticket = None;
         if let Some(rewrite) = output.rewrite {
             self.disk = rewrite.records.iter().collect();
             ticket = Some(rewrite.ticket);
         }
-        for (saved, record) in output.save {
+        for (saved, record) in output.records {
             self.disk.push(record);
             ticket = Some(saved);
         }
         if let Some(ticket) = ticket {
-            self.replica.saved(now, ticket);
+            self.replica.persisted(now, ticket);
         }
         output.messages
     }
 
     /// Its process starts again with what the disk holds.
     fn restart(&mut self, founding: &[u64], now: Time) {
-        let me = self.replica.me().clone();
+        let me = self.replica.local_member().clone();
         self.replica = Replica::recover(me, members(founding), settings(1), &self.disk, 9, now).unwrap();
     }
 }
@@ -48,7 +48,7 @@
     while *now < end {
         *now += 5 * MILLIS;
         for node in nodes.iter_mut() {
-            node.replica.due(*now);
+            node.replica.handle_timeout(*now);
         }
         loop {
             let sent: Vec<(Member, Bytes)> = nodes.iter_mut().flat_map(|node| node.carry_out(*now)).collect();
@@ -56,8 +56,8 @@
                 break;
             }
             for (to, bytes) in sent {
-                if let Some(node) = nodes.iter_mut().find(|node| node.replica.me().id == to.id) {
-                    node.replica.heard(*now, &bytes).unwrap();
+                if let Some(node) = nodes.iter_mut().find(|node| node.replica.local_member().id == to.id) {
+                    node.replica.receive(*now, &bytes).unwrap();
                 }
             }
         }
@@ -70,7 +70,7 @@
 fn with_one_left_behind(now: &mut Time) -> [Node; 3] {
     let [mut first, mut second, third] = GROUP.map(|id| Node::new(id, &GROUP));
     run(&mut [&mut first, &mut second], now, 2_000 * MILLIS);
-    let leader = if first.replica.leads() { &mut first } else { &mut second };
+    let leader = if first.replica.is_serving_leader() { &mut first } else { &mut second };
     leader.replica.propose(*now, Bytes::from_static(&[7; 100])).unwrap();
     run(&mut [&mut first, &mut second], now, 500 * MILLIS);
     [first, second, third]
@@ -78,8 +78,8 @@
 
 /// The follower of the first two gives up what it holds.
 fn vacated(first: Node, second: Node, now: Time) -> Node {
-    let mut follower = if first.replica.leads() { second } else { first };
-    assert!(follower.replica.vacate(now));
+    let mut follower = if first.replica.is_serving_leader() { second } else { first };
+    assert!(follower.replica.become_tombstone(now));
     follower.carry_out(now);
     follower
 }
@@ -94,7 +94,7 @@
             vacant.restart(&GROUP, now);
         }
         run(&mut [&mut vacant, &mut third], &mut now, 10_000 * MILLIS);
-        assert!(!third.replica.is_elected(), "restarted: {restarts}");
+        assert!(!third.replica.is_leader(), "restarted: {restarts}");
     }
 }
 
@@ -104,9 +104,9 @@
     let [first, second, _] = with_one_left_behind(&mut now);
     let mut vacant = vacated(first, second, now);
     vacant.restart(&GROUP, now);
-    assert!(vacant.replica.is_vacant());
+    assert!(vacant.replica.is_tombstone());
     run(&mut [&mut vacant], &mut now, 5_000 * MILLIS);
-    assert!(vacant.replica.members().0.is_empty());
+    assert!(vacant.replica.members().is_empty());
 }
 
 #[test]
@@ -125,30 +125,32 @@
 fn a_leader_gives_up_nothing() {
     let mut now = 0;
     let [first, second, _] = with_one_left_behind(&mut now);
-    let mut leader = if first.replica.leads() { first } else { second };
-    assert!(!leader.replica.vacate(now));
-    assert!(leader.replica.leads());
+    let mut leader = if first.replica.is_serving_leader() { first } else { second };
+    assert!(!leader.replica.become_tombstone(now));
+    assert!(leader.replica.is_serving_leader());
 }
 
 #[test]
 fn a_member_that_gave_up_its_log_is_filled_again() {
     let mut now = 0;
     let [first, second, _] = with_one_left_behind(&mut now);
-    let (mut leader, follower) = if first.replica.leads() { (first, second) } else { (second, first) };
+    let (mut leader, follower) =
+        if first.replica.is_serving_leader() { (first, second) } else { (second, first) };
     let mut third = Node::new(3, &GROUP);
     run(&mut [&mut leader, &mut third], &mut now, 500 * MILLIS);
-    let id = follower.replica.me().id;
+    let id = follower.replica.local_member().id;
     let rest: Vec<u64> = GROUP.into_iter().filter(|other| *other != id).collect();
-    leader.replica.change(now, members(&rest)).unwrap();
+    leader.replica.change_replica_set(now, members(&rest)).unwrap();
     run(&mut [&mut leader, &mut third], &mut now, 500 * MILLIS);
     let mut vacant = follower;
-    assert!(vacant.replica.vacate(now));
+    assert!(vacant.replica.become_tombstone(now));
     vacant.carry_out(now);
 
-    leader.replica.change(now, members(&[rest[0], rest[1], id])).unwrap();
+    leader.replica.change_replica_set(now, members(&[rest[0], rest[1], id])).unwrap();
     run(&mut [&mut leader, &mut third, &mut vacant], &mut now, 500 * MILLIS);
 
     assert_eq!(vacant.replica.members(), leader.replica.members());
-    assert_eq!(vacant.replica.uncommitted(), 0);
-    assert!(!vacant.replica.is_vacant());
+    assert_eq!(vacant.replica.is_replica_set_committed(), leader.replica.is_replica_set_committed());
+    assert_eq!(vacant.replica.uncommitted_entries(), 0);
+    assert!(!vacant.replica.is_tombstone());
 }
--- a/crates/coordinator/examples/scale.rs
+++ b/crates/coordinator/examples/scale.rs
@@ -458,26 +458,26 @@
 fn agree(bytes: usize, batch: usize) -> (usize, f64) {
     let member = |id: MemberId| {
         let at = SocketAddr::from(([10, 0, 0, id as u8], 7000));
-        Member { id, name: format!("member-{id}"), zone: format!("zone-{id}"), at }
+        Member { id, name: format!("member-{id}"), zone: format!("zone-{id}"), address: at }
     };
     let group: Vec<Member> = (1..=3).map(member).collect();
     let settings = Settings {
-        heartbeat: SECOND / 10,
-        election: 4 * SECOND / 10,
-        copies: 2,
-        most_bytes: 256 << 10,
-        compact_bytes: 8 << 20,
-        lag_bytes: 2 << 20,
+        heartbeat_interval: SECOND / 10,
+        election_timeout: 4 * SECOND / 10,
+        min_replicas: 2,
+        max_message_bytes: 256 << 10,
+        compaction_threshold_bytes: 8 << 20,
+        max_lag_bytes: 2 << 20,
     };
     let new = |m: &Member| Replica::new(m.clone(), group.clone(), settings, m.id, SECOND);
     let mut replicas: BTreeMap<MemberId, Replica> = group.iter().map(|m| (m.id, new(m))).collect();
     let mut now = SECOND;
-    while !replicas.values().any(Replica::leads) {
+    while !replicas.values().any(Replica::is_serving_leader) {
         now += SECOND / 100;
-        replicas.values_mut().filter(|r| r.next() <= now).for_each(|r| r.due(now));
+        replicas.values_mut().filter(|r| r.next_timeout() <= now).for_each(|r| r.handle_timeout(now));
         exchange(&mut replicas, now);
     }
-    let leader = replicas.iter().find(|(_, r)| r.leads()).map_or(0, |(id, _)| *id);
+    let leader = replicas.iter().find(|(_, r)| r.is_serving_leader()).map_or(0, |(id, _)| *id);
     let command = Bytes::from(vec![7; bytes]);
     let (began, cpu, mut commands) = (Instant::now(), processor(), 0);
     while began.elapsed() < Duration::from_millis(1500) {
@@ -487,7 +487,7 @@
             assert!(proposed.is_some(), "the leader leads on");
         }
         commands += exchange(&mut replicas, now) / 3;
-        replicas.values_mut().filter(|r| r.next() <= now).for_each(|r| r.due(now));
+        replicas.values_mut().filter(|r| r.next_timeout() <= now).for_each(|r| r.handle_timeout(now));
     }
     (commands, processor() - cpu)
 }
@@ -500,24 +500,24 @@
         let ids: Vec<MemberId> = replicas.keys().copied().collect();
         for id in ids {
             let Some(replica) = replicas.get_mut(&id) else { continue };
-            let output = replica.take();
+            let output = replica.take_ready();
             committed += output.committed.len();
-            if output.compact {
+            if output.needs_compaction {
                 let state = Bytes::from_static(b"state");
-                replica.snapshot(now, Arc::new(InMemoryState::new(state, 1 << 10)));
+                replica.compact(now, Arc::new(InMemoryState::new(state, 1 << 10)));
             }
             let saved = output
-                .save
+                .records
                 .last()
                 .map(|(t, _)| *t)
                 .max(output.rewrite.as_ref().map(|rewrite| rewrite.ticket));
             if let Some(ticket) = saved {
-                replica.saved(now, ticket);
+                replica.persisted(now, ticket);
                 quiet = false;
             }
             for (to, bytes) in output.messages {
                 if let Some(to) = replicas.get_mut(&to.id) {
-                    to.heard(now, &bytes).expect("a message of its own kind");
+                    to.receive(now, &bytes).expect("a message of its own kind");
                     quiet = false;
                 }
             }
--- a/crates/coordinator/src/admission.rs
+++ b/crates/coordinator/src/admission.rs
@@ -31,7 +31,7 @@
 }
 
 fn shard_usage(shard: &Shard) -> ShardUsage {
-    ShardUsage { log: shard.log_use(), is_led: shard.replica.leads() }
+    ShardUsage { log: shard.log_use(), is_led: shard.replica.is_serving_leader() }
 }
 
 impl Coordinator {
@@ -43,7 +43,7 @@
     /// What this process has in use.
     fn usage(&self) -> Usage {
         let submitting = self.shards.values().flat_map(|shard| shard.submitting.values());
-        let kept = self.shards.values().filter(|shard| !shard.replica.is_vacant());
+        let kept = self.shards.values().filter(|shard| !shard.replica.is_tombstone());
         Usage {
             shards: kept.map(shard_usage).collect(),
             proposed: submitting.map(|submitting| submitting.bytes).sum(),
@@ -64,7 +64,8 @@
         if shard.disk.is_stalled(self.now.steady) {
             return Err(Refusal::Stall);
         }
-        if shard.replica.uncommitted() > MOST_UNCOMMITTED || self.uncommitted_bytes() > MOST_UNCOMMITTED_BYTES
+        if shard.replica.uncommitted_entries() > MOST_UNCOMMITTED
+            || self.uncommitted_bytes() > MOST_UNCOMMITTED_BYTES
         {
             return Err(Refusal::Links);
         }
@@ -74,7 +75,7 @@
 
     /// Bytes that are proposed, or about to be, and not committed, over all parts that are led here.
     fn uncommitted_bytes(&self) -> usize {
-        let led = self.shards.values().filter(|shard| shard.replica.is_elected());
+        let led = self.shards.values().filter(|shard| shard.replica.is_leader());
         let bytes = led.map(|shard| {
             let reserving: usize = shard.submitting.values().map(Submitting::bytes_to_propose).sum();
             shard.replica.uncommitted_bytes() + reserving
--- a/crates/coordinator/src/calls.rs
+++ b/crates/coordinator/src/calls.rs
@@ -208,7 +208,7 @@
     ) {
         self.nonce += 1;
         let nonce = self.nonce;
-        let leads = self.shards.get(&shard).is_some_and(|p| p.replica.leads());
+        let leads = self.shards.get(&shard).is_some_and(|p| p.replica.is_serving_leader());
         let within =
             if self.is_isolated(self.now) && !leads { within.min(ISOLATED_PATIENCE) } else { within };
         let ask = Ask {
@@ -289,7 +289,7 @@
             return;
         }
         let Some(number) = self.asks.get(&nonce).map(|a| a.shard) else { return };
-        let led = self.shards.get(&number).filter(|p| p.replica.leads()).map(|_| self.info.at);
+        let led = self.shards.get(&number).filter(|p| p.replica.is_serving_leader()).map(|_| self.info.at);
         let silent = self.asks.get(&nonce).and_then(|a| a.silent);
         // Who is known to be gone, or has just not answered, is asked only where nobody else is left.
         let (mut seats, all) = (self.seats(number), self.seats(number));
@@ -451,7 +451,10 @@
     fn send_on(&mut self, number: u16, origin: Origin, proposed: bool) {
         // One that is elected and may not serve yet does not name itself.
         let replica = self.shards.get(&number).map(|shard| &shard.replica);
-        let leader = replica.filter(|r| r.leads() || !r.is_elected()).and_then(|r| r.leader()).map(|m| m.at);
+        let leader = replica
+            .filter(|r| r.is_serving_leader() || !r.is_leader())
+            .and_then(|r| r.leader())
+            .map(|m| m.address);
         match origin {
             Origin::Own(nonce) => self.elsewhere(nonce, self.info.at, leader),
             Origin::Remote { to, nonce } => {
--- a/crates/coordinator/src/control.rs
+++ b/crates/coordinator/src/control.rs
@@ -152,12 +152,12 @@
     /// A store tells of itself. Whoever had its name or address with another disk is gone, and so is that disk.
     fn enter_store(&mut self, member: Member) {
         let replaced = |store: &Store| {
-            let same_place = store.member.at == member.at || store.member.name == member.name;
+            let same_place = store.member.address == member.address || store.member.name == member.name;
             same_place && store.member.id != member.id
         };
         let gone: Vec<MemberId> = self.stores.values().filter(|s| replaced(s)).map(|s| s.member.id).collect();
         gone.into_iter().for_each(|disk| self.fence(disk));
-        self.stores.retain(|name, store| *name == member.name || store.member.at != member.at);
+        self.stores.retain(|name, store| *name == member.name || store.member.address != member.address);
         // A machine that is to go is still to go where it has lost its disk meanwhile.
         let retirement = self.stores.get(&member.name).map_or(0, |store| store.retirement);
         self.stores.insert(member.name.clone(), Store { member, retirement });
--- a/crates/coordinator/src/diagnostics.rs
+++ b/crates/coordinator/src/diagnostics.rs
@@ -43,26 +43,26 @@
             let election = Election {
                 term: shard.replica.term(),
                 leader: leader.map(|member| member.id),
-                is_elected: shard.replica.is_elected(),
+                is_elected: shard.replica.is_leader(),
             };
             if self.diagnostics.elections.insert(*number, election) == Some(election) {
                 continue;
             }
             let leader =
-                leader.map_or("nobody".to_owned(), |member| format!("{}@{}", member.name, member.at));
-            let uncommitted = shard.replica.uncommitted();
+                leader.map_or("nobody".to_owned(), |member| format!("{}@{}", member.name, member.address));
+            let uncommitted = shard.replica.uncommitted_entries();
             let text = format!("part {number}, term {}: {leader}, {uncommitted} uncommitted", election.term);
             self.effects.push(Effect::Log("election", text));
         }
     }
 
     fn report_lag(&mut self) {
-        for (number, shard) in self.shards.iter().filter(|(_, shard)| shard.replica.is_elected()) {
-            let behind = shard.replica.behind();
+        for (number, shard) in self.shards.iter().filter(|(_, shard)| shard.replica.is_leader()) {
+            let behind = shard.replica.replication_lag();
             let lagging: Vec<String> = behind
                 .iter()
-                .filter(|(_, lacks)| *lacks > LAG_WORTH_TELLING)
-                .map(|(member, lacks)| format!("{member:x} lacks {lacks}"))
+                .filter(|lag| lag.entries > LAG_WORTH_TELLING)
+                .map(|lag| format!("{:x} lacks {}", lag.member, lag.entries))
                 .collect();
             if !lagging.is_empty() {
                 let text = format!("part {number}: {}", lagging.join(", "));
--- a/crates/coordinator/src/frame.rs
+++ b/crates/coordinator/src/frame.rs
@@ -72,7 +72,12 @@
 
 impl From<&rainlug_consensus::Member> for MemberRecord {
     fn from(m: &rainlug_consensus::Member) -> Self {
-        MemberRecord { id: m.id, name: m.name.as_str().into(), zone: m.zone.as_str().into(), at: m.at.into() }
+        MemberRecord {
+            id: m.id,
+            name: m.name.as_str().into(),
+            zone: m.zone.as_str().into(),
+            at: m.address.into(),
+        }
     }
 }
 
@@ -82,7 +87,7 @@
             id: self.id,
             name: self.name.to_str()?.to_owned(),
             zone: self.zone.to_str()?.to_owned(),
-            at: self.at.into(),
+            address: self.at.into(),
         })
     }
 }
--- a/crates/coordinator/src/invariants.rs
+++ b/crates/coordinator/src/invariants.rs
@@ -3,7 +3,7 @@
 
 use std::fmt;
 
-use rainlug_consensus::{MAX_APPLY_BYTES, Output, Restore};
+use rainlug_consensus::{MAX_APPLY_BYTES, Ready, RestoreStep};
 
 use crate::{Coordinator, Effect};
 
@@ -80,10 +80,10 @@
     }
 
     /// What a replica has handed the state machine in one step is bounded, but for a single long command or piece.
-    pub(crate) fn check_step(&mut self, output: &Output) {
+    pub(crate) fn check_step(&mut self, output: &Ready) {
         let chunks = output.restore.iter().map(|step| match step {
-            Restore::Chunk(chunk) => chunk.len(),
-            Restore::Begin | Restore::Abandon | Restore::Finish(_) => 0,
+            RestoreStep::Chunk(chunk) => chunk.len(),
+            RestoreStep::Begin | RestoreStep::Abandon | RestoreStep::Finish(_) => 0,
         });
         let commands = output.committed.iter().map(|(_, command)| command.len());
         let (mut bytes, mut longest) = (0, 0);
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -157,14 +157,14 @@
 
 fn settings(info: &NodeInfo) -> Settings {
     Settings {
-        heartbeat: SECOND / 10,
-        election: 4 * SECOND / 10,
-        copies: info.tolerate + 1,
+        heartbeat_interval: SECOND / 10,
+        election_timeout: 4 * SECOND / 10,
+        min_replicas: info.tolerate + 1,
         // Of this are a few copies on the leader's link at once, one for each follower.
-        most_bytes: 128 << 10,
-        compact_bytes: (info.disk_bytes / LOGS_OF_A_DISK).clamp(4 << 20, 256 << 20),
+        max_message_bytes: 128 << 10,
+        compaction_threshold_bytes: (info.disk_bytes / LOGS_OF_A_DISK).clamp(4 << 20, 256 << 20),
         // A snapshot instead takes the room of a second copy at who lags.
-        lag_bytes: capacity::lag_bytes(info.disk_bytes),
+        max_lag_bytes: capacity::lag_bytes(info.disk_bytes),
     }
 }
 
@@ -247,15 +247,19 @@
         let mut seeds = self.info.seeds.clone();
         seeds.sort_unstable();
         seeds.dedup();
-        let founder =
-            |at: SocketAddr| Member { id: founding_id(at), name: String::new(), zone: String::new(), at };
+        let founder = |at: SocketAddr| Member {
+            id: founding_id(at),
+            name: String::new(),
+            zone: String::new(),
+            address: at,
+        };
         seeds.into_iter().map(founder).collect()
     }
 
     fn me(&self) -> Option<Member> {
         let info = &self.info;
         let (name, zone) = (info.node.clone(), info.zone.clone());
-        Some(Member { id: info.disk?, name, zone, at: info.at })
+        Some(Member { id: info.disk?, name, zone, address: info.at })
     }
 
     /// Opens the replica of a part.
@@ -286,7 +290,7 @@
 
     /// When [`Coordinator::due`] wants to be called, at the latest, by the steady clock.
     pub fn next(&self) -> Time {
-        let shards = self.shards.values().map(|p| p.replica.next());
+        let shards = self.shards.values().map(|p| p.replica.next_timeout());
         let asks = self.asks.values().map(|a| a.next());
         let held = self.held.iter().map(|h| h.until);
         let polls = self.shards.values().map(|p| p.next_poll());
@@ -302,8 +306,10 @@
         // Replicas first: a leader that stood still must know that it may not be one any more.
         let numbers: Vec<u16> = self.shards.keys().copied().collect();
         for number in numbers {
-            if let Some(shard) = self.shards.get_mut(&number).filter(|p| p.replica.next() <= now.steady) {
-                shard.replica.due(now.steady);
+            if let Some(shard) =
+                self.shards.get_mut(&number).filter(|p| p.replica.next_timeout() <= now.steady)
+            {
+                shard.replica.handle_timeout(now.steady);
                 self.drain(number);
             }
         }
@@ -393,7 +399,7 @@
         }
         let now = self.now.steady;
         if let Some(shard) = self.shards.get_mut(&number) {
-            if shard.replica.heard(now, bytes).is_err() {
+            if shard.replica.receive(now, bytes).is_err() {
                 self.effects.push(Effect::Log("garbage", format!("of part {number}'s group")));
             }
             self.drain(number);
@@ -416,7 +422,7 @@
         self.now = now;
         if let Some(shard) = self.shards.get_mut(&number) {
             shard.disk.saved(ticket, length);
-            shard.replica.saved(now.steady, ticket);
+            shard.replica.persisted(now.steady, ticket);
             self.drain(number);
         }
         self.settle();
@@ -481,7 +487,7 @@
         let Some(shard) = self.shards.get(&number) else {
             return (false, self.hints.get(&number).copied(), Vec::new());
         };
-        let leader = shard.replica.leader().map(|m| m.at);
-        (shard.replica.leads(), leader, shard.replica.members().0.to_vec())
+        let leader = shard.replica.leader().map(|m| m.address);
+        (shard.replica.is_serving_leader(), leader, shard.replica.members().to_vec())
     }
 }
--- a/crates/coordinator/src/listing.rs
+++ b/crates/coordinator/src/listing.rs
@@ -131,11 +131,11 @@
         for (member, retiring) in self.shelved() {
             let holds = |seats: &[MemberRecord]| seats.iter().any(|s| s.id == member.id);
             let shards = self.topology.groups.iter().filter(|g| holds(&g.members)).map(|g| g.shard).collect();
-            let standing = stands(member.at).unwrap_or("unknown");
+            let standing = stands(member.address).unwrap_or("unknown");
             lines.push(StoreListing {
                 name: member.name,
                 zone: member.zone,
-                peer: member.at,
+                peer: member.address,
                 standing,
                 retiring,
                 shards,
@@ -159,8 +159,8 @@
         let line = |number: u16| {
             let (leader, seats, term) = match self.shards.get(&number) {
                 Some(shard) => {
-                    let seats: Vec<SocketAddr> = shard.replica.members().0.iter().map(|m| m.at).collect();
-                    (shard.replica.leader().map(|m| m.at), seats, shard.replica.term())
+                    let seats: Vec<SocketAddr> = shard.replica.members().iter().map(|m| m.address).collect();
+                    (shard.replica.leader().map(|m| m.address), seats, shard.replica.term())
                 }
                 None => {
                     let listed = self.topology.groups.iter().find(|g| g.shard == number);
@@ -169,8 +169,12 @@
                     } else {
                         listed.map(|g| &g.members)
                     };
-                    let seats =
-                        seats.into_iter().flatten().filter_map(|s| s.member().ok()).map(|m| m.at).collect();
+                    let seats = seats
+                        .into_iter()
+                        .flatten()
+                        .filter_map(|s| s.member().ok())
+                        .map(|m| m.address)
+                        .collect();
                     (self.hints.get(&number).copied(), seats, listed.map_or(0, |g| g.term))
                 }
             };
--- a/crates/coordinator/src/lost_membership.rs
+++ b/crates/coordinator/src/lost_membership.rs
@@ -10,7 +10,8 @@
 //!   the entry that adds it.
 //! - It neither leads nor stands for election here.
 //!
-//! What others may still build on stays in a file of some 60 bytes, see [`rainlug_consensus::Replica::vacate`]: without its vote a
+//! What others may still build on stays in a file of some 60 bytes, see
+//! [`rainlug_consensus::Replica::become_tombstone`]: without its vote a
 //! member could vote twice in a term, without the end of its log it could elect the leader of a group that has ended, and founders
 //! without a file would found the group once more. When the store is given a seat again it begins with that.
 
@@ -42,16 +43,16 @@
     fn has_lost_seat(&self, number: u16) -> bool {
         let (Some(shard), Some(disk)) = (self.shards.get(&number), self.info.disk) else { return false };
         let replica = &shard.replica;
-        !replica.is_vacant()
-            && !replica.has_backlog()
+        !replica.is_tombstone()
+            && !replica.has_unapplied_entries()
             && replica.leader().is_none()
-            && self.topology.is_without(number, disk, replica.group_index())
+            && self.topology.is_without(number, disk, replica.replica_set_index())
     }
 
     fn vacate(&mut self, number: u16) {
         let now = self.now.steady;
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        if !shard.replica.vacate(now) {
+        if !shard.replica.become_tombstone(now) {
             return;
         }
         shard.seatless_since = None;
--- a/crates/coordinator/src/maintenance.rs
+++ b/crates/coordinator/src/maintenance.rs
@@ -28,7 +28,7 @@
             self.fence_absent();
         }
         for number in 1..=BATCH_SHARDS {
-            if self.shards.get(&number).is_some_and(|p| p.replica.is_elected()) {
+            if self.shards.get(&number).is_some_and(|p| p.replica.is_leader()) {
                 self.seat_stores(number);
             }
         }
--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -100,7 +100,7 @@
     /// the configuration's part then is a quorum by itself.
     pub(crate) fn is_isolated(&self, now: Now) -> bool {
         let silent = self.has_fellows && now.steady - self.heard > CUT_OFF;
-        silent && !self.shards.get(&CONTROL).is_some_and(|shard| shard.replica.leads())
+        silent && !self.shards.get(&CONTROL).is_some_and(|shard| shard.replica.is_serving_leader())
     }
 
     /// Whether it may be given clients: it knows a configuration, has heard of others or is alone, and is not cut off: who lives
--- a/crates/coordinator/src/replica_placement.rs
+++ b/crates/coordinator/src/replica_placement.rs
@@ -100,7 +100,7 @@
         self.joiners.retain(|_, (_, heard)| now - *heard < 3 * ANNOUNCE);
         let target = self.info.target_members();
         let Some(shard) = self.shards.get(&CONTROL) else { return };
-        let (members, settled) = shard.replica.members();
+        let (members, settled) = (shard.replica.members(), shard.replica.is_replica_set_committed());
         if !settled {
             return;
         }
@@ -115,14 +115,15 @@
         let without =
             |out: &Member| -> Vec<Member> { members.iter().filter(|m| m.id != out.id).cloned().collect() };
         // The same machine with another disk; then who is gone; then free seats.
-        let same =
-            fresh.iter().find_map(|f| members.iter().find(|m| m.at == f.at).map(|m| (m.clone(), f.clone())));
-        let gone = members.iter().find(|m| self.absent(&m.at)).cloned();
+        let same = fresh
+            .iter()
+            .find_map(|f| members.iter().find(|m| m.address == f.address).map(|m| (m.clone(), f.clone())));
+        let gone = members.iter().find(|m| self.absent(&m.address)).cloned();
         let next = if let Some((old, new)) = same {
             Some([without(&old), vec![new]].concat())
         } else if let Some(old) = gone {
             let rest = without(&old);
-            self.best(CONTROL, &rest, fresh.iter().filter(|f| !self.absent(&f.at)))
+            self.best(CONTROL, &rest, fresh.iter().filter(|f| !self.absent(&f.address)))
                 .map(|new| [rest, vec![new]].concat())
         } else if members.len() < target {
             self.best(CONTROL, &members, fresh.iter()).map(|new| [members.clone(), vec![new]].concat())
@@ -136,8 +137,8 @@
 
     fn reseat(&mut self, number: u16, next: Vec<Member>) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        if shard.replica.change(self.now.steady, next.clone()).is_ok() {
-            let names: Vec<String> = next.iter().map(|m| format!("{}@{}", m.name, m.at)).collect();
+        if shard.replica.change_replica_set(self.now.steady, next.clone()).is_ok() {
+            let names: Vec<String> = next.iter().map(|m| format!("{}@{}", m.name, m.address)).collect();
             self.effects.push(Effect::Log("seats", format!("part {number}: {}", names.join(" "))));
             self.drain(number);
         }
@@ -193,7 +194,7 @@
         let Some(control) = self.shards.get(&CONTROL).and_then(|p| p.control()) else { return };
         let mut fences: Vec<MemberId> = Vec::new();
         for group in control.groups.values() {
-            let absent = |m: &&Member| self.absent_for(&m.at) > FENCE_ABSENT;
+            let absent = |m: &&Member| self.absent_for(&m.address) > FENCE_ABSENT;
             let gone: Vec<&Member> = group.members.iter().filter(absent).collect();
             let half = group.members.len() / 2;
             let decides = group.members.len() - gone.len() > half;
@@ -201,7 +202,7 @@
             let could_have_the_seat = control.stores.values().any(|s| {
                 !s.is_retiring()
                     && !control.is_fenced(s.member.id)
-                    && self.living.contains_key(&s.member.at)
+                    && self.living.contains_key(&s.member.address)
                     && group.members.iter().all(|m| m.id != s.member.id)
             });
             if !decides && is_tied && could_have_the_seat {
@@ -274,14 +275,14 @@
             !retiring
                 && !self.topology.is_fenced(store.id)
                 && members.iter().all(|m| m.id != store.id)
-                && self.living.contains_key(&store.at)
+                && self.living.contains_key(&store.address)
         };
         let may_leave = |m: &Member| is_retiring(m) || self.topology.is_fenced(m.id);
         let spare: Vec<&Member> = listed.iter().filter(could_join).map(|(store, _)| store).collect();
         // First those that hold nothing any more, then those that are to go, then those that may come back.
         let lost = members.iter().find(|m| self.topology.is_fenced(m.id) || !is_listed(m));
         let leaving = members.iter().find(|m| is_retiring(m));
-        let gone = members.iter().find(|m| self.absent(&m.at));
+        let gone = members.iter().find(|m| self.absent(&m.address));
         match lost.or(leaving).or(gone) {
             Some(out) => {
                 let rest: Vec<Member> = members.iter().filter(|m| m.id != out.id).cloned().collect();
@@ -302,7 +303,7 @@
 
     pub(crate) fn seat_stores(&mut self, number: u16) {
         let Some(shard) = self.shards.get(&number) else { return };
-        let (members, settled) = shard.replica.members();
+        let (members, settled) = (shard.replica.members(), shard.replica.is_replica_set_committed());
         if !settled
             || self.gossip.get(gossip::GROUPS).is_none()
             || !matches!(shard.machine, Machine::BatchJobs(_))
@@ -318,15 +319,16 @@
 
     /// Tells the configuration's part of the group as it stands, once it has been handed over and all that live hold nearly all.
     fn tell_group(&mut self, number: u16, group: &[Member]) {
-        let Some(shard) = self.shards.get(&number).filter(|p| p.led && p.replica.is_handed_over()) else {
+        let Some(shard) = self.shards.get(&number).filter(|p| p.led && p.replica.is_replica_set_durable())
+        else {
             return;
         };
-        let (term, index) = (shard.replica.term(), shard.replica.group_index());
-        let behind = shard.replica.behind();
+        let (term, index) = (shard.replica.term(), shard.replica.replica_set_index());
+        let behind = shard.replica.replication_lag();
         let holds_all = |m: &Member| {
-            m.at == self.info.at
-                || behind.iter().any(|(id, lacks)| *id == m.id && *lacks < NEARLY_ALL)
-                || self.absent(&m.at)
+            m.address == self.info.at
+                || behind.iter().any(|lag| lag.member == m.id && lag.entries < NEARLY_ALL)
+                || self.absent(&m.address)
         };
         let retirements = self.topology.retirements;
         let is_known = self.topology.group(number).is_some_and(|told| {
--- a/crates/coordinator/src/serving.rs
+++ b/crates/coordinator/src/serving.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
 use rainlug_batch::Command;
-use rainlug_consensus::Refused;
+use rainlug_consensus::ProposeError;
 use rainlug_registry::Configuration;
 
 use crate::control::{Change, Store};
@@ -20,7 +20,7 @@
 impl Coordinator {
     /// A call that has come to this process as a part's leader.
     pub(crate) fn serve(&mut self, origin: Origin, number: u16, request: Request, tail: Bytes) {
-        if !self.shards.get(&number).is_some_and(|p| p.replica.leads()) {
+        if !self.shards.get(&number).is_some_and(|p| p.replica.is_serving_leader()) {
             return self.send_elsewhere(number, origin);
         }
         let name = |text: &Text| text.to_str().map(str::to_owned).unwrap_or_default();
@@ -88,7 +88,7 @@
                 self.drain(number);
                 true
             }
-            Err(Refused::NotLeader(_) | Refused::Busy) => {
+            Err(ProposeError::NotLeader(_) | ProposeError::ChangeInProgress) => {
                 self.send_elsewhere(number, origin);
                 false
             }
@@ -106,7 +106,7 @@
         let Some(shard) = self.shards.get_mut(&number) else { return };
         shard.tickets += 1;
         shard.reads.insert(shard.tickets, (origin, wanted));
-        shard.replica.read(self.now.steady, shard.tickets);
+        shard.replica.read_index(self.now.steady, shard.tickets);
         self.drain(number);
     }
 
@@ -134,7 +134,7 @@
         let stays = |other: &&Store| other.member.name != store && !other.is_retiring();
         let (listed, living) =
             control.stores.values().filter(stays).fold((0, 0), |(listed, living), other| {
-                (listed + 1, living + usize::from(self.living.contains_key(&other.member.at)))
+                (listed + 1, living + usize::from(self.living.contains_key(&other.member.address)))
             });
         // As many as a group must have for the loss of what is to be borne.
         let least = self.info.fewest_members();
--- a/crates/coordinator/src/shard.rs
+++ b/crates/coordinator/src/shard.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use rainlug::Time;
 use rainlug_batch::{QuotaLedger, Register, Schedule};
-use rainlug_consensus::{Index, Member, Output, Replica, Restore, Rewrite, Settings};
+use rainlug_consensus::{Index, Member, Ready, Replica, RestoreStep, Rewrite, Settings};
 use rainlug_registry::gossip;
 
 use crate::capacity::{LogUse, ShardDisk};
@@ -103,14 +103,14 @@
     }
 
     /// A step of replacing the state machine's whole state.
-    fn restore(&mut self, step: Restore) -> Result<(), RestoreError> {
+    fn restore(&mut self, step: RestoreStep) -> Result<(), RestoreError> {
         match step {
-            Restore::Begin => self.restoring = Some(self.machine.restore_begin()),
-            Restore::Abandon => self.restoring = None,
-            Restore::Chunk(chunk) => {
+            RestoreStep::Begin => self.restoring = Some(self.machine.restore_begin()),
+            RestoreStep::Abandon => self.restoring = None,
+            RestoreStep::Chunk(chunk) => {
                 self.restoring.as_mut().ok_or(RestoreError::NotBegun)?.take(&chunk)?;
             }
-            Restore::Finish(_) => {
+            RestoreStep::Finish(_) => {
                 let restoring = self.restoring.take().ok_or(RestoreError::NotBegun)?;
                 let (machine, quota_ledger) = restoring.finish()?;
                 self.machine = machine;
@@ -154,14 +154,14 @@
     }
 
     pub fn metrics(&self) -> Vec<(String, f64)> {
-        if self.replica.is_vacant() {
+        if self.replica.is_tombstone() {
             return Vec::new();
         }
         let name = |what: &str| format!("part_{}_{what}", self.number);
         let mut metrics = vec![
             (name("leads"), f64::from(u8::from(self.led))),
             (name("term"), self.replica.term() as f64),
-            (name("members"), self.replica.members().0.len() as f64),
+            (name("members"), self.replica.members().len() as f64),
         ];
         if let Some(register) = self.register() {
             metrics.push((name("bytes"), register.size() as f64));
@@ -185,15 +185,15 @@
     pub(crate) fn drain(&mut self, number: u16) {
         for _ in 0..MOST_TAKES {
             let Some(shard) = self.shards.get_mut(&number) else { return };
-            let output = shard.replica.take();
+            let output = shard.replica.take_ready();
             let quiet = output.messages.is_empty()
-                && output.save.is_empty()
+                && output.records.is_empty()
                 && output.rewrite.is_none()
                 && output.restore.is_empty()
                 && output.committed.is_empty()
                 && output.reads.is_empty()
-                && !output.changed
-                && !output.compact;
+                && !output.has_status_changed
+                && !output.needs_compaction;
             if quiet && !std::mem::take(&mut shard.compact_wanted) {
                 break;
             }
@@ -201,23 +201,23 @@
                 // Nothing is on its way to the disk but what it was handed: the rewrite may be put off and nothing is missing.
                 let state = shard.machine.snapshot_source(&shard.quota_ledger);
                 let size = state.size();
-                shard.replica.snapshot(self.now.steady, state);
+                shard.replica.compact(self.now.steady, state);
                 self.effects.push(Effect::Log("snapshot", format!("part {number}: {size} bytes")));
                 continue;
             }
             self.carry_out(number, output);
-            if self.shards.get(&number).is_none_or(|shard| shard.replica.has_backlog()) {
+            if self.shards.get(&number).is_none_or(|shard| shard.replica.has_unapplied_entries()) {
                 break;
             }
         }
         self.leading(number);
     }
 
-    fn carry_out(&mut self, number: u16, output: Output) {
+    fn carry_out(&mut self, number: u16, output: Ready) {
         self.check_step(&output);
         for (to, bytes) in output.messages {
             self.effects.push(Effect::Frame {
-                to: to.at,
+                to: to.address,
                 head: join(&Head::Group { shard: number }, &[]),
                 tail: bytes,
             });
@@ -227,10 +227,10 @@
             self.saving(number, ticket);
             self.effects.push(Effect::Rewrite { shard: number, ticket, records, implied });
         }
-        if let Some((ticket, _)) = output.save.last() {
+        if let Some((ticket, _)) = output.records.last() {
             let ticket = *ticket;
             self.saving(number, ticket);
-            let records = output.save.into_iter().map(|(_, record)| record).collect();
+            let records = output.records.into_iter().map(|(_, record)| record).collect();
             self.effects.push(Effect::Save { shard: number, ticket, records });
         }
         for step in output.restore {
@@ -252,16 +252,16 @@
                 Err(_) => self.send_elsewhere(number, origin),
             }
         }
-        if output.compact
+        if output.needs_compaction
             && let Some(shard) = self.shards.get_mut(&number)
         {
-            if output.is_state_wanted || shard.log_use().pays() {
+            if output.needs_snapshot || shard.log_use().pays() {
                 shard.compact_wanted = true;
             } else {
-                shard.replica.postpone_snapshot();
+                shard.replica.postpone_compaction();
             }
         }
-        if output.changed && number == CONTROL {
+        if output.has_status_changed && number == CONTROL {
             self.post();
         }
     }
@@ -273,9 +273,9 @@
         }
     }
 
-    fn restore(&mut self, number: u16, step: Restore) {
+    fn restore(&mut self, number: u16, step: RestoreStep) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        if let Restore::Finish(index) = step {
+        if let RestoreStep::Finish(index) = step {
             self.effects.push(Effect::Log("restore", format!("part {number}: as of entry {index}")));
         }
         if let Err(error) = shard.restore(step) {
@@ -313,7 +313,7 @@
     /// What follows from who leads.
     fn leading(&mut self, number: u16) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        let leads = shard.replica.leads();
+        let leads = shard.replica.is_serving_leader();
         if leads == shard.led {
             return;
         }
@@ -349,10 +349,10 @@
 
     /// The leader of the configuration's part enters what is agreed on in the gossip.
     pub(crate) fn post(&mut self) {
-        let Some(shard) = self.shards.get(&CONTROL).filter(|p| p.replica.leads()) else { return };
+        let Some(shard) = self.shards.get(&CONTROL).filter(|p| p.replica.is_serving_leader()) else { return };
         let Some(control) = shard.control() else { return };
         let (version, text) = (control.version, control.text.clone());
-        let (core, settled) = shard.replica.members();
+        let (core, settled) = (shard.replica.members(), shard.replica.is_replica_set_committed());
         let topology = settled.then(|| control.topology(core));
         let term = shard.replica.term();
         if version > 0 && self.gossip.get(gossip::CONFIGURATION).is_none_or(|(known, _)| known < version) {
--- a/crates/coordinator/tests/cold_review_faults.rs
+++ b/crates/coordinator/tests/cold_review_faults.rs
@@ -66,7 +66,7 @@
     let Some(leader) = fleet.leader(shard) else { return Vec::new() };
     let members = fleet.machines[leader].coordinator.as_ref().expect("it runs").leads(shard).2;
     let place = |at| fleet.machines.iter().position(|machine| machine.at == at);
-    members.iter().filter_map(|member| place(member.at)).collect()
+    members.iter().filter_map(|member| place(member.address)).collect()
 }
 
 #[test]
--- a/crates/coordinator/tests/operators/stories.rs
+++ b/crates/coordinator/tests/operators/stories.rs
@@ -42,7 +42,7 @@
     let holds = |shard: u16| {
         let leader = fleet.leader(shard).expect("a leader");
         let coordinator = fleet.machines[leader].coordinator.as_ref().expect("it runs");
-        coordinator.leads(shard).2.iter().any(|member| member.at == address(store))
+        coordinator.leads(shard).2.iter().any(|member| member.address == address(store))
     };
     (1..=BATCH_SHARDS).filter(|shard| holds(*shard)).count()
 }
--- a/crates/coordinator/tests/promises.rs
+++ b/crates/coordinator/tests/promises.rs
@@ -41,7 +41,7 @@
     let leader = fleet.leader(shard).expect("a leader");
     let members = fleet.machines[leader].coordinator.as_ref().expect("it runs").leads(shard).2;
     let place = |at| fleet.machines.iter().position(|machine| machine.at == at);
-    let others = members.iter().filter_map(|member| place(member.at)).filter(|at| *at != leader);
+    let others = members.iter().filter_map(|member| place(member.address)).filter(|at| *at != leader);
     [leader].into_iter().chain(others).collect()
 }
 
--- a/crates/coordinator/tests/stories.rs
+++ b/crates/coordinator/tests/stories.rs
@@ -33,7 +33,7 @@
         let leader = fleet.leader(shard).expect("a leader");
         let members = fleet.machines[leader].coordinator.as_ref().unwrap().leads(shard).2;
         let zones: std::collections::BTreeSet<&str> =
-            members.iter().map(|m| m.at.to_string().leak() as &str).collect();
+            members.iter().map(|m| m.address.to_string().leak() as &str).collect();
         assert_eq!((members.len(), zones.len()), (3, 3), "part {shard}");
     }
 }
@@ -216,7 +216,7 @@
     fleet.pass(10.0);
     let leader = fleet.leader(CONTROL).expect("a leader");
     let members = fleet.machines[leader].coordinator.as_ref().unwrap().leads(CONTROL).2;
-    let places: Vec<_> = members.iter().map(|m| m.at).collect();
+    let places: Vec<_> = members.iter().map(|m| m.address).collect();
     assert!(members.len() == 3 && places.contains(&common::address(new)), "{places:?}");
     // Now another one may be lost.
     fleet.kill(0, true);
--- a/crates/coordinator/tests/vacating.rs
+++ b/crates/coordinator/tests/vacating.rs
@@ -137,7 +137,7 @@
     let is_named = |fleet: &Fleet| {
         let store = &fleet.machines[new];
         let group = store.coordinator.as_ref().map(|coordinator| coordinator.leads(SHARD).2);
-        group.is_some_and(|group| group.iter().any(|member| member.at == store.at))
+        group.is_some_and(|group| group.iter().any(|member| member.address == store.at))
     };
     assert!(fleet.until(10.0, is_named));
     others.iter().for_each(|at| fleet.kill(*at, true));
