--- a/crates/coordinator/tests/format.rs
+++ b/crates/coordinator/tests/format.rs
@@ -20,7 +20,7 @@
         id: 0x0102_0304_0506_0700 + place as u64,
         name: format!("storage-{place}"),
         zone: format!("zone-{place}"),
-        at: address(place),
+        address: address(place),
     }
 }
 
