--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -7,8 +7,8 @@
 use rainlug_soak::run::run;
 use rainlug_soak::tier::Error;
 use rainlug_soak::verdict::{Tally, Verdict};
-use rainlug_tier::node::Role;
-use rainlug_tier::roles::{self, Started, Worker, started, worker};
+use rainlug_tier::process::Role;
+use rainlug_tier::roles::{self, ServeOptions, WorkerOptions, serve_options, worker_options};
 
 /// What an interrupted run ends with.
 const INTERRUPTED: u8 = 130;
@@ -19,13 +19,13 @@
 enum Command {
     /// A process of the tier
     #[bpaf(command, hide)]
-    Gateway(#[bpaf(external(started))] Started),
+    Gateway(#[bpaf(external(serve_options))] ServeOptions),
     /// A process of the tier
     #[bpaf(command, hide)]
-    Store(#[bpaf(external(started))] Started),
+    Store(#[bpaf(external(serve_options))] ServeOptions),
     /// A stand-in worker
     #[bpaf(command, hide)]
-    Worker(#[bpaf(external(worker))] Worker),
+    Worker(#[bpaf(external(worker_options))] WorkerOptions),
     Soak(#[bpaf(external(options))] Options),
 }
 
@@ -58,16 +58,16 @@
 
 fn main() -> ExitCode {
     match command().run() {
-        Command::Gateway(started) => roles::serve(Role::Gateway, started),
-        Command::Store(started) => roles::serve(Role::Store, started),
-        Command::Worker(worker) => roles::work(worker),
+        Command::Gateway(options) => roles::serve(Role::Gateway, options),
+        Command::Store(options) => roles::serve(Role::Store, options),
+        Command::Worker(options) => roles::serve_worker(options),
         Command::Soak(options) if !options.is_sound() => {
             eprintln!("rainlug-soak: no such run: see docs/soak.md for what counts and limits may be");
             ExitCode::from(2)
         }
-        Command::Soak(options) => match roles::runs(soak(options)) {
+        Command::Soak(options) => match roles::block_on_local(soak(options)) {
             Ok(code) => code,
-            Err(error) => roles::failed(1, &error),
+            Err(error) => roles::exit_with_error(1, &error),
         },
     }
 }
--- a/crates/soak/src/monitor.rs
+++ b/crates/soak/src/monitor.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use rainlug_sim_worker::client::{self, Ask};
-use rainlug_tier::local::Role;
-use rainlug_tier::process_memory::{self, Figure};
+use rainlug_tier::local::ProcessRole;
+use rainlug_tier::process_memory::{self, MemoryMetric};
 use tokio::time::{Instant, sleep};
 
 use crate::soak::{Soak, Stage};
@@ -58,8 +58,8 @@
     }
 }
 
-fn memory_kib(process: u32, figure: Figure) -> Option<u64> {
-    process_memory::kibibytes(&process.to_string(), figure)
+fn memory_kib(process: u32, figure: MemoryMetric) -> Option<u64> {
+    process_memory::read_kibibytes(&process.to_string(), figure)
 }
 
 fn memory(soak: &Soak, over: &mut BTreeSet<u32>) {
@@ -67,9 +67,9 @@
     let mut found = Vec::new();
     for host in &soak.tier.borrow().hosts {
         let Some(process) = host.process() else { continue };
-        let Some(peak) = memory_kib(process, Figure::Peak) else { continue };
+        let Some(peak) = memory_kib(process, MemoryMetric::Peak) else { continue };
         soak.most(format!("peak KiB of a {:?}", host.machine.role), peak);
-        if host.machine.role != Role::Worker && peak > limit && over.insert(process) {
+        if host.machine.role != ProcessRole::Worker && peak > limit && over.insert(process) {
             found.push(format!("{}: {peak} KiB of memory, {limit} are its limit", host.machine.name));
         }
     }
@@ -80,10 +80,10 @@
 fn kill_over_memory(soak: &Soak) {
     let limit = u64::from(soak.options.memory_mb) * 1024;
     let mut tier = soak.tier.borrow_mut();
-    for index in tier.of(&[Role::Gateway, Role::Store]) {
+    for index in tier.of(&[ProcessRole::Gateway, ProcessRole::Store]) {
         let process =
             tier.hosts.get(index).filter(|host| host.running == Running::Up).and_then(Host::process);
-        let used = process.and_then(|process| memory_kib(process, Figure::Used));
+        let used = process.and_then(|process| memory_kib(process, MemoryMetric::Resident));
         if used.is_some_and(|used| used > limit) {
             soak.note(&format!("{}: killed over its memory", tier.name(index)));
             soak.count("killed over memory");
@@ -99,10 +99,10 @@
         sleep(FIGURES).await;
         let processes: Vec<(String, u32, SocketAddr)> = {
             let tier = soak.tier.borrow();
-            let keepers = tier.hosts.iter().filter(|host| host.machine.role != Role::Worker);
+            let keepers = tier.hosts.iter().filter(|host| host.machine.role != ProcessRole::Worker);
             let up = keepers.filter(|host| host.running == Running::Up);
             up.filter_map(|host| {
-                Some((host.machine.name.clone(), host.process()?, tier.plan.control(&host.machine)))
+                Some((host.machine.name.clone(), host.process()?, tier.plan.control_address(&host.machine)))
             })
             .collect()
         };
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -108,7 +108,7 @@
             workers: WORKERS,
             base_port,
         };
-        match plan.free() {
+        match plan.check_addresses_free() {
             Ok(()) => return Ok(plan),
             Err(error) => taken = Some(error),
         }
@@ -163,7 +163,7 @@
     while !change(soak, &mut random, 0, 1).await {
         wait(until, "nobody takes a configuration").await?;
     }
-    let fronts = soak.tier.borrow().plan.fronts();
+    let fronts = soak.tier.borrow().plan.front_addresses();
     for at in fronts {
         for (host, path) in probes() {
             let fields = [("Host", host)];
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use rainlug_tier::local::Role;
+use rainlug_tier::local::ProcessRole;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
@@ -138,18 +138,18 @@
 
     fn any(&self, random: &mut SmallRng, at: impl Fn(&Tier, usize) -> SocketAddr) -> SocketAddr {
         let tier = self.tier.borrow();
-        let gateways = tier.of(&[Role::Gateway]);
+        let gateways = tier.of(&[ProcessRole::Gateway]);
         let index = gateways.get(random.random_range(0..gateways.len().max(1))).copied().unwrap_or(0);
         at(&tier, index)
     }
 
     /// Where some gateway serves clients.
     pub fn any_front(&self, random: &mut SmallRng) -> SocketAddr {
-        self.any(random, |tier, index| tier.plan.front(&tier.hosts[index].machine))
+        self.any(random, |tier, index| tier.plan.front_address(&tier.hosts[index].machine))
     }
 
     /// Where some gateway serves operators.
     pub fn any_control(&self, random: &mut SmallRng) -> SocketAddr {
-        self.any(random, |tier, index| tier.plan.control(&tier.hosts[index].machine))
+        self.any(random, |tier, index| tier.plan.control_address(&tier.hosts[index].machine))
     }
 }
--- a/crates/soak/src/tier.rs
+++ b/crates/soak/src/tier.rs
@@ -9,7 +9,7 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use quick_error::quick_error;
-use rainlug_tier::local::{self, Machine, Plan, Role, spawn};
+use rainlug_tier::local::{self, Machine, Plan, ProcessRole, spawn};
 use toml::{Table, Value};
 
 use crate::network::Network;
@@ -137,7 +137,7 @@
     }
 
     fn write_settings(&self) -> Result<(), Error> {
-        let keepers = self.hosts.iter().filter(|host| host.machine.role != Role::Worker);
+        let keepers = self.hosts.iter().filter(|host| host.machine.role != ProcessRole::Worker);
         keepers.map(|host| &host.machine).try_for_each(|machine| self.write_settings_of(machine))
     }
 
@@ -149,7 +149,7 @@
     /// The settings of `rainlug local`, with this run's limits and fault file.
     fn settings(&self, machine: &Machine) -> Result<String, Error> {
         let wrong = |what: &str| Error::Settings(machine.name.clone(), what.to_owned());
-        let text = self.plan.settings(machine, self.first_boot);
+        let text = self.plan.settings_text(machine, self.first_boot);
         let mut all: Table = text.parse().map_err(|e: toml::de::Error| wrong(e.message()))?;
         let fault_file = self.fault_file(&machine.name).to_string_lossy().into_owned();
         all.insert("fault_file".to_owned(), Value::String(fault_file));
@@ -170,7 +170,7 @@
         }
         // A store tells its figures there.
         let listen = all.get_mut("listen").and_then(Value::as_table_mut).ok_or_else(|| wrong("listen"))?;
-        listen.insert("control".to_owned(), Value::String(self.plan.control(machine).to_string()));
+        listen.insert("control".to_owned(), Value::String(self.plan.control_address(machine).to_string()));
         Ok(all.to_string())
     }
 
@@ -181,7 +181,7 @@
     /// What the program is started with, workers fast enough to fill disks.
     fn arguments(&self, machine: &Machine) -> Vec<String> {
         let mut all = self.plan.arguments(machine);
-        if machine.role == Role::Worker {
+        if machine.role == ProcessRole::Worker {
             let words = self.limits.words_per_token.to_string();
             let more =
                 ["--slots", "32", "--step-ms", "2", "--step-more-ms", "0.05", "--words-per-token", &words];
@@ -245,7 +245,7 @@
     /// Where its folder cannot be removed.
     pub fn wipe(&mut self, index: usize) -> Result<(), Error> {
         let Some(host) = self.hosts.get(index).filter(|host| host.child.is_none()) else { return Ok(()) };
-        let folder = self.plan.data_folder(&host.machine.name);
+        let folder = self.plan.data_dir(&host.machine.name);
         match std::fs::remove_dir_all(&folder) {
             Err(error) if error.kind() != std::io::ErrorKind::NotFound => Err(Error::Files(folder, error)),
             _ => Ok(()),
@@ -275,9 +275,10 @@
     /// # Errors
     /// Where one cannot be written.
     pub fn write_faults(&self) -> Result<(), Error> {
-        let peers: Vec<SocketAddr> = self.hosts.iter().map(|host| self.plan.peer(&host.machine)).collect();
-        for host in self.hosts.iter().filter(|host| host.machine.role != Role::Worker) {
-            let text = self.network.faults_of(self.plan.peer(&host.machine), &peers);
+        let peers: Vec<SocketAddr> =
+            self.hosts.iter().map(|host| self.plan.peer_address(&host.machine)).collect();
+        for host in self.hosts.iter().filter(|host| host.machine.role != ProcessRole::Worker) {
+            let text = self.network.faults_of(self.plan.peer_address(&host.machine), &peers);
             let file = self.fault_file(&host.machine.name);
             let next = file.with_extension("next");
             write(&next, &text)?;
@@ -303,14 +304,15 @@
     /// Gateways and stores that are down, paused or cut off.
     pub fn away(&self) -> Vec<String> {
         let cut_off = self.network.impaired();
-        let is_away =
-            |host: &&Host| host.running != Running::Up || cut_off.contains(&self.plan.peer(&host.machine));
-        let keepers = self.hosts.iter().filter(|host| host.machine.role != Role::Worker);
+        let is_away = |host: &&Host| {
+            host.running != Running::Up || cut_off.contains(&self.plan.peer_address(&host.machine))
+        };
+        let keepers = self.hosts.iter().filter(|host| host.machine.role != ProcessRole::Worker);
         keepers.filter(is_away).map(|host| host.machine.name.clone()).collect()
     }
 
     /// Machines of these roles, by index.
-    pub fn of(&self, roles: &[Role]) -> Vec<usize> {
+    pub fn of(&self, roles: &[ProcessRole]) -> Vec<usize> {
         let all = self.hosts.iter().enumerate();
         all.filter(|(_, host)| roles.contains(&host.machine.role)).map(|(index, _)| index).collect()
     }
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod node;
 pub mod operator;
 pub mod peers;
+pub mod process;
 pub mod process_memory;
 pub mod roles;
 pub mod settings;
--- a/crates/tier/src/local.rs
+++ b/crates/tier/src/local.rs
@@ -86,7 +86,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
+pub enum ProcessRole {
     Gateway,
     Store,
     Worker,
@@ -96,7 +96,7 @@
 #[derive(Clone, Debug)]
 pub struct Machine {
     pub name: String,
-    pub role: Role,
+    pub role: ProcessRole,
     pub ip: Ipv4Addr,
     pub zone: &'static str,
 }
@@ -104,7 +104,7 @@
 impl Plan {
     /// # Errors
     /// Where counts or ports are none that there can be.
-    pub fn sound(&self) -> Result<(), Error> {
+    pub fn validate(&self) -> Result<(), Error> {
         if [self.gateways, self.stores, self.workers].iter().any(|n| !(1..=50).contains(n)) {
             return Err(Error::Counts);
         }
@@ -117,9 +117,9 @@
     /// All processes, from 127.0.0.2 on: gateways, stores, workers.
     pub fn machines(&self) -> Vec<Machine> {
         let roles = [
-            (Role::Gateway, "gateway", self.gateways),
-            (Role::Store, "store", self.stores),
-            (Role::Worker, "worker", self.workers),
+            (ProcessRole::Gateway, "gateway", self.gateways),
+            (ProcessRole::Store, "store", self.stores),
+            (ProcessRole::Worker, "worker", self.workers),
         ];
         let mut all = Vec::new();
         let mut last = 1;
@@ -139,17 +139,17 @@
     }
 
     /// Where a machine serves clients.
-    pub fn front(&self, machine: &Machine) -> SocketAddr {
+    pub fn front_address(&self, machine: &Machine) -> SocketAddr {
         self.at(machine, FRONT)
     }
 
     /// Where a machine serves operators, figures and workers.
-    pub fn control(&self, machine: &Machine) -> SocketAddr {
+    pub fn control_address(&self, machine: &Machine) -> SocketAddr {
         self.at(machine, CONTROL)
     }
 
     /// Where a machine hears its peers.
-    pub fn peer(&self, machine: &Machine) -> SocketAddr {
+    pub fn peer_address(&self, machine: &Machine) -> SocketAddr {
         self.at(machine, PEERS.0)
     }
 
@@ -158,19 +158,19 @@
     }
 
     fn gateways(&self) -> Vec<Machine> {
-        self.machines().into_iter().filter(|m| m.role == Role::Gateway).collect()
+        self.machines().into_iter().filter(|m| m.role == ProcessRole::Gateway).collect()
     }
 
     /// Where clients, operators and `GET /v1/readiness` call.
-    pub fn fronts(&self) -> Vec<SocketAddr> {
+    pub fn front_addresses(&self) -> Vec<SocketAddr> {
         self.gateways().iter().map(|m| self.at(m, FRONT)).collect()
     }
 
-    pub fn controls(&self) -> Vec<SocketAddr> {
+    pub fn control_addresses(&self) -> Vec<SocketAddr> {
         self.gateways().iter().map(|m| self.at(m, CONTROL)).collect()
     }
 
-    pub fn readies(&self) -> Vec<SocketAddr> {
+    pub fn readiness_addresses(&self) -> Vec<SocketAddr> {
         self.gateways().iter().map(|m| self.at(m, READY)).collect()
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// A gateway's or store's disk.
-    pub fn data_folder(&self, name: &str) -> PathBuf {
+    pub fn data_dir(&self, name: &str) -> PathBuf {
         self.dir.join("data").join(name)
     }
 
@@ -188,11 +188,11 @@
     }
 
     /// The settings file of a gateway or store.
-    pub fn settings(&self, machine: &Machine, first_boot: bool) -> String {
+    pub fn settings_text(&self, machine: &Machine, first_boot: bool) -> String {
         let text = |text: &str| Value::String(text.to_owned());
         let address = |port| text(&self.at(machine, port).to_string());
-        let gateway = machine.role == Role::Gateway;
-        let seeds = self.controls().into_iter().take(if self.tolerates() > 0 { 3 } else { 1 });
+        let gateway = machine.role == ProcessRole::Gateway;
+        let seeds = self.control_addresses().into_iter().take(if self.tolerates() > 0 { 3 } else { 1 });
         let seeds: Vec<Value> = seeds.map(|at| text(&at.to_string())).collect();
         let ports = [PEERS.0, PEERS.1].map(|p| Value::Integer(i64::from(self.base_port + p)));
         let mut listen = Table::new();
@@ -220,7 +220,7 @@
             ("port_range", Value::Array(ports.to_vec())),
             ("seeds", Value::Array(seeds)),
             ("first_boot", Value::Boolean(first_boot)),
-            ("data_dir", text(&self.data_folder(&machine.name).to_string_lossy())),
+            ("data_dir", text(&self.data_dir(&machine.name).to_string_lossy())),
             ("beat_ms", Value::Integer(BEAT_MS as i64)),
             ("serves", Value::Array(serves)),
             ("listen", Value::Table(listen)),
@@ -272,8 +272,8 @@
     }
 
     fn write_settings(&self, first_boot: bool) -> Result<(), Error> {
-        for machine in self.machines().iter().filter(|m| m.role != Role::Worker) {
-            self.write(&self.settings_file(&machine.name), &self.settings(machine, first_boot))?;
+        for machine in self.machines().iter().filter(|m| m.role != ProcessRole::Worker) {
+            self.write(&self.settings_file(&machine.name), &self.settings_text(machine, first_boot))?;
         }
         Ok(())
     }
@@ -282,12 +282,12 @@
     ///
     /// # Errors
     /// The first one that is not.
-    pub fn free(&self) -> Result<(), Error> {
+    pub fn check_addresses_free(&self) -> Result<(), Error> {
         for machine in self.machines() {
             let ports = match machine.role {
-                Role::Gateway => vec![FRONT, READY, CONTROL, PEERS.0],
-                Role::Store => vec![PEERS.0],
-                Role::Worker => vec![WORK],
+                ProcessRole::Gateway => vec![FRONT, READY, CONTROL, PEERS.0],
+                ProcessRole::Store => vec![PEERS.0],
+                ProcessRole::Worker => vec![WORK],
             };
             for at in ports.into_iter().map(|port| self.at(&machine, port)) {
                 TcpListener::bind(at).map_err(|e| Error::Taken(at, e))?;
@@ -300,9 +300,9 @@
     pub fn arguments(&self, machine: &Machine) -> Vec<String> {
         let settings = self.settings_file(&machine.name).to_string_lossy().into_owned();
         let mut all: Vec<String> = match machine.role {
-            Role::Gateway => vec!["gateway".into(), "--settings".into(), settings],
-            Role::Store => vec!["store".into(), "--settings".into(), settings],
-            Role::Worker => {
+            ProcessRole::Gateway => vec!["gateway".into(), "--settings".into(), settings],
+            ProcessRole::Store => vec!["store".into(), "--settings".into(), settings],
+            ProcessRole::Worker => {
                 let at = self.at(machine, WORK).to_string();
                 let told = [
                     ("--name", machine.name.clone()),
@@ -312,7 +312,7 @@
                     ("--beat-ms", BEAT_MS.to_string()),
                     ("--drain-ms", "1000".to_owned()),
                 ];
-                let controls = self.controls().into_iter().map(|at| ("--control", at.to_string()));
+                let controls = self.control_addresses().into_iter().map(|at| ("--control", at.to_string()));
                 let told =
                     told.into_iter().chain(controls).flat_map(|(name, value)| [name.to_owned(), value]);
                 std::iter::once("worker".to_owned()).chain(told).collect()
@@ -391,7 +391,7 @@
 impl Tier {
     /// Ends all in order: workers, while there is somebody to hear their drains; those who take requests; stores.
     async fn end(&mut self) {
-        for role in [Role::Worker, Role::Gateway, Role::Store] {
+        for role in [ProcessRole::Worker, ProcessRole::Gateway, ProcessRole::Store] {
             let mut these: Vec<&mut Started> =
                 self.all.iter_mut().filter(|s| s.machine.role == role).collect();
             these.iter_mut().filter(|s| s.over.is_none()).for_each(|s| s.tell_to_end());
@@ -446,12 +446,12 @@
                     fields: &fields,
                     body: CONFIGURATION.as_bytes(),
                 };
-                status(plan.controls().first(), put).await == Some(200)
+                status(plan.control_addresses().first(), put).await == Some(200)
             })
             .await?;
         }
         self.until("a gateway is not ready", until, async |plan| {
-            for at in plan.readies() {
+            for at in plan.readiness_addresses() {
                 if status(Some(&at), Ask::get("/v1/readiness")).await != Some(200) {
                     return false;
                 }
@@ -460,7 +460,7 @@
         })
         .await?;
         self.until("workers are not known", until, async |plan| {
-            let Some(at) = plan.controls().first().copied() else { return false };
+            let Some(at) = plan.control_addresses().first().copied() else { return false };
             let Ok(told) = client::call(at, Ask::get("/v1/workers"), Duration::from_secs(1)).await else {
                 return false;
             };
@@ -472,7 +472,7 @@
         self.until("the stores do not keep batch jobs yet", until, async |plan| {
             let fields = [("Host", HOST)];
             let read = Ask { method: "GET", path: "/v1/lots/none", fields: &fields, body: b"" };
-            status(plan.fronts().first(), read).await == Some(404)
+            status(plan.front_addresses().first(), read).await == Some(404)
         })
         .await
     }
@@ -514,14 +514,14 @@
             let m = &s.machine;
             let at = |port| plan.at(m, port).to_string();
             let (serves, control) = match m.role {
-                Role::Gateway => (at(FRONT), at(CONTROL)),
-                Role::Store => ("-".to_owned(), "-".to_owned()),
-                Role::Worker => (at(WORK), "-".to_owned()),
+                ProcessRole::Gateway => (at(FRONT), at(CONTROL)),
+                ProcessRole::Store => ("-".to_owned(), "-".to_owned()),
+                ProcessRole::Worker => (at(WORK), "-".to_owned()),
             };
             vec![m.name.clone(), m.zone.to_owned(), s.child.id().to_string(), serves, control]
         };
         let rows: Vec<Vec<String>> = self.all.iter().map(row).collect();
-        let (front, control) = (plan.fronts(), plan.controls());
+        let (front, control) = (plan.front_addresses(), plan.control_addresses());
         let other = front.last().map(SocketAddr::to_string).unwrap_or_default();
         let (front, control) =
             (front.first().map(SocketAddr::to_string), control.first().map(SocketAddr::to_string));
@@ -558,11 +558,11 @@
 /// # Errors
 /// Where it does not come up; nothing is left running then.
 pub async fn run(mut plan: Plan) -> Result<(), Error> {
-    plan.sound()?;
+    plan.validate()?;
     std::fs::create_dir_all(&plan.dir).map_err(|e| Error::Files(plan.dir.clone(), e))?;
     plan.dir = plan.dir.canonicalize().map_err(|e| Error::Files(plan.dir.clone(), e))?;
     let (lock, founded) = plan.take()?;
-    plan.free()?;
+    plan.check_addresses_free()?;
     plan.write_settings(!founded)?;
     let (mut terminate, mut interrupt) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
     let told = async {
--- a/crates/tier/src/main.rs
+++ b/crates/tier/src/main.rs
@@ -8,9 +8,11 @@
 use rainlug_tier::check;
 use rainlug_tier::listings::{Members, Parts, Stores, Workers};
 use rainlug_tier::local::{self, Plan, plan};
-use rainlug_tier::node::Role;
 use rainlug_tier::operator::{self, Retire};
-use rainlug_tier::roles::{self, Started, Worker, failed, started, worker};
+use rainlug_tier::process::Role;
+use rainlug_tier::roles::{
+    self, ServeOptions, WorkerOptions, exit_with_error, serve_options, worker_options,
+};
 
 /// A serving tier with a batch interface
 #[derive(Clone, Debug, Bpaf)]
@@ -21,13 +23,13 @@
     Local(#[bpaf(external(plan))] Plan),
     /// Takes requests, and keeps the configuration and the list of workers
     #[bpaf(command)]
-    Gateway(#[bpaf(external(started))] Started),
+    Gateway(#[bpaf(external(serve_options))] ServeOptions),
     /// Keeps batch jobs and runs their items
     #[bpaf(command)]
-    Store(#[bpaf(external(started))] Started),
+    Store(#[bpaf(external(serve_options))] ServeOptions),
     /// Stands in for a model worker: speaks the protocol and runs no model
     #[bpaf(command)]
-    Worker(#[bpaf(external(worker))] Worker),
+    Worker(#[bpaf(external(worker_options))] WorkerOptions),
     /// Checks settings files (.toml) and configurations (.json), and names all that is wrong
     #[bpaf(command)]
     Check {
@@ -124,7 +126,7 @@
 fn show(what: impl Future<Output = Result<String, operator::Error>>) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return failed(1, &error),
+        Err(error) => return exit_with_error(1, &error),
     };
     match runtime.block_on(what) {
         Ok(text) => {
@@ -133,18 +135,18 @@
             let _ = std::io::stdout().write_all(text.as_bytes());
             ExitCode::SUCCESS
         }
-        Err(error) => failed(error.code(), &error),
+        Err(error) => exit_with_error(error.code(), &error),
     }
 }
 
 fn main() -> ExitCode {
     match rainlug().run() {
-        Rainlug::Gateway(started) => roles::serve(Role::Gateway, started),
-        Rainlug::Store(started) => roles::serve(Role::Store, started),
-        Rainlug::Worker(worker) => roles::work(worker),
-        Rainlug::Local(plan) => match roles::runs(local::run(plan)) {
+        Rainlug::Gateway(options) => roles::serve(Role::Gateway, options),
+        Rainlug::Store(options) => roles::serve(Role::Store, options),
+        Rainlug::Worker(options) => roles::serve_worker(options),
+        Rainlug::Local(plan) => match roles::block_on_local(local::run(plan)) {
             Ok(()) => ExitCode::SUCCESS,
-            Err(error) => failed(1, &error),
+            Err(error) => exit_with_error(1, &error),
         },
         Rainlug::Check { files } => ExitCode::from(if check::run(&files) { 0 } else { 2 }),
         Rainlug::Members(a) => show(operator::list::<Members>(&a.at, a.json)),
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -30,6 +30,7 @@
 use crate::disk::{Disk, PartLog, Told};
 use crate::log;
 use crate::peers::Peers;
+use crate::process::Role;
 use crate::settings::{self, Settings};
 use crate::step_times::StepTimes;
 
@@ -56,12 +57,6 @@
     }
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
-    Gateway,
-    Store,
-}
-
 pub struct Node {
     role: Role,
     clock: Clock,
--- a/crates/tier/src/roles.rs
+++ b/crates/tier/src/roles.rs
@@ -11,13 +11,14 @@
 use rainlug_sim_worker::{SimWorker, WorkerSettings, engine::Shape};
 
 use crate::log;
-use crate::node::{Node, Role};
+use crate::node::Node;
+use crate::process::Role;
 use crate::settings::Settings;
 
-/// How a gateway or a store is started.
+/// How a gateway or a store is options.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(ignore_rustdoc)]
-pub struct Started {
+pub struct ServeOptions {
     /// The settings file, in place of the one that RAINLUG_SETTINGS names
     #[bpaf(long, argument("FILE"))]
     settings: Option<PathBuf>,
@@ -29,10 +30,10 @@
     tied: bool,
 }
 
-/// How a stand-in worker is started.
+/// How a stand-in worker is options.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(ignore_rustdoc)]
-pub struct Worker {
+pub struct WorkerOptions {
     /// What its id begins with; the rest is drawn at each start
     #[bpaf(long, argument("NAME"), fallback("worker".to_owned()), display_fallback)]
     name: String,
@@ -52,7 +53,7 @@
     /// Time that it serves on for after its drain was heard
     #[bpaf(long, argument("MS"), fallback(2000), display_fallback)]
     drain_ms: u64,
-    /// Requests that it runs at once
+    /// Requests that it block_on_local at once
     #[bpaf(long, argument("N"), fallback(8), display_fallback)]
     slots: usize,
     /// Tokens that its memory holds
@@ -71,7 +72,7 @@
     tied: bool,
 }
 
-/// Asks this process to end in order once standard input does: who started it has ended.
+/// Asks this process to end in order once standard input does: who options it has ended.
 fn tie() {
     std::thread::spawn(|| {
         let mut input = std::io::stdin().lock();
@@ -85,33 +86,33 @@
 ///
 /// # Errors
 /// Its own, and where no runtime can be had.
-pub fn runs<T, E: From<std::io::Error>>(what: impl Future<Output = Result<T, E>>) -> Result<T, E> {
+pub fn block_on_local<T, E: From<std::io::Error>>(what: impl Future<Output = Result<T, E>>) -> Result<T, E> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     tokio::task::LocalSet::new().block_on(&runtime, what)
 }
 
 /// Serves as a gateway or a store until the process is told to end.
-pub fn serve(role: Role, started: Started) -> ExitCode {
-    let settings = match started.settings {
+pub fn serve(role: Role, options: ServeOptions) -> ExitCode {
+    let settings = match options.settings {
         Some(path) => Settings::from_file(&path),
         None => Settings::from_environment(),
     };
     let settings = match settings {
         Ok(settings) => settings,
-        Err(error) => return failed(2, &error),
+        Err(error) => return exit_with_error(2, &error),
     };
-    let mechanisms = match Mechanisms::without(&started.without) {
+    let mechanisms = match Mechanisms::without(&options.without) {
         Ok(mechanisms) => mechanisms,
-        Err(error) => return failed(2, &error),
+        Err(error) => return exit_with_error(2, &error),
     };
-    if started.tied {
+    if options.tied {
         tie();
     }
     log::start(&settings.node, &settings.log_level);
     if mechanisms != Mechanisms::all() {
-        log::event("experiment", &format!("left out: {}", started.without.join(", ")));
+        log::event("experiment", &format!("left out: {}", options.without.join(", ")));
     }
-    match runs(Node::run(role, settings, mechanisms)) {
+    match block_on_local(Node::run(role, settings, mechanisms)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             log::error("stop", &error.to_string());
@@ -121,37 +122,37 @@
 }
 
 /// Serves as a stand-in worker until the process is told to end.
-pub fn work(worker: Worker) -> ExitCode {
+pub fn serve_worker(options: WorkerOptions) -> ExitCode {
     let drawn = match rand::TryRngCore::try_next_u32(&mut rand::rngs::OsRng) {
         Ok(drawn) => drawn,
         Err(_) => std::process::id(),
     };
-    if worker.tied {
+    if options.tied {
         tie();
     }
-    log::start(&worker.name, "info");
+    log::start(&options.name, "info");
     let micros = |ms: f64| (ms.clamp(0.01, 60_000.0) * 1000.0) as rainlug::Time;
     let told = WorkerSettings {
-        id: format!("{}-{drawn:08x}", worker.name),
-        service: worker.service,
-        zone: worker.zone,
-        at: worker.at,
-        controls: worker.control,
-        beat: Duration::from_millis(worker.beat_ms.max(10)),
-        drain: Duration::from_millis(worker.drain_ms),
-        max_conns: worker.slots.saturating_mul(8).clamp(16, 4096),
+        id: format!("{}-{drawn:08x}", options.name),
+        service: options.service,
+        zone: options.zone,
+        at: options.at,
+        controls: options.control,
+        beat: Duration::from_millis(options.beat_ms.max(10)),
+        drain: Duration::from_millis(options.drain_ms),
+        max_conns: options.slots.saturating_mul(8).clamp(16, 4096),
         health_path: "/liveness".to_owned(),
         shape: Shape {
-            slots: worker.slots,
-            queue: worker.slots,
-            kv_tokens: worker.kv_tokens,
-            step: micros(worker.step_ms),
-            step_more: micros(worker.step_more_ms),
-            words_per_token: worker.words_per_token,
+            slots: options.slots,
+            queue: options.slots,
+            kv_tokens: options.kv_tokens,
+            step: micros(options.step_ms),
+            step_more: micros(options.step_more_ms),
+            words_per_token: options.words_per_token,
             ..Shape::default()
         },
     };
-    match runs(SimWorker::run(told)) {
+    match block_on_local(SimWorker::run(told)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             log::error("stop", &error.to_string());
@@ -161,7 +162,7 @@
 }
 
 /// Prints an error, and gives the code that the process ends with.
-pub fn failed(code: u8, error: &dyn std::error::Error) -> ExitCode {
+pub fn exit_with_error(code: u8, error: &dyn std::error::Error) -> ExitCode {
     eprintln!("rainlug: {error}");
     ExitCode::from(code)
 }
--- a/crates/tier/src/step_times.rs
+++ b/crates/tier/src/step_times.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::log;
-use crate::process_memory::{self, Figure};
+use crate::process_memory::{self, MemoryMetric};
 
 /// A step that takes longer is logged: a quarter of the time after which followers take a silent leader for dead.
 const LONG_STEP: Duration = Duration::from_millis(100);
@@ -39,5 +39,5 @@
 
 /// The most memory that this process has had at once; 0 where the system does not tell.
 fn peak_memory_kilobytes() -> u64 {
-    process_memory::kibibytes("self", Figure::Peak).unwrap_or(0)
+    process_memory::read_kibibytes("self", MemoryMetric::Peak).unwrap_or(0)
 }
--- a/crates/tier/tests/local.rs
+++ b/crates/tier/tests/local.rs
@@ -151,7 +151,7 @@
     let end = Instant::now() + MOST;
     let mut running = Running::start(&plan);
     assert_eq!(running.processes.len(), 9, "it came up");
-    let (fronts, controls) = (plan.fronts(), plan.controls());
+    let (fronts, controls) = (plan.front_addresses(), plan.control_addresses());
     for settings in ["gateway-1", "store-3"] {
         assert!(
             rainlug(&[
