--- a/crates/tier/src/log.rs
+++ b/crates/tier/src/log.rs
@@ -1,6 +1,6 @@
-//! Logs as JSON lines on standard error: each event once, with the same field names in every role.
+//! Logs as JSON lines on standard error, with the same field names in every role.
 
-mod limit;
+mod rate_limit;
 
 use std::sync::Arc;
 
@@ -8,8 +8,8 @@
 use spdlog::sink::{StdStream, StdStreamSink};
 use spdlog::{Level, LevelFilter, Logger};
 
-/// From this level on; the process's name is the logger's.
-pub fn start(node: &str, level: &str) {
+/// Sets the process's logger up: `node` is its name, and lines below `level` are left out (`info` where the level is unknown).
+pub fn init(node: &str, level: &str) {
     let level = match level {
         "error" => Level::Error,
         "warn" => Level::Warn,
@@ -29,19 +29,22 @@
     }
 }
 
-/// A line for staff; of one event only so many a second are written, and the next one tells how many were left out.
-pub fn event(what: &'static str, text: &str) {
-    let Some(left_out) = limit::admit(what) else { return };
-    if left_out > 0 {
-        spdlog::info!("{} more", left_out, kv: { event = what });
+/// An event that staff may want to know. Of one kind only so many a second are written; the next line says how many were left
+/// out.
+pub fn event(kind: &'static str, text: &str) {
+    let Some(suppressed) = rate_limit::admit(kind) else { return };
+    if suppressed > 0 {
+        spdlog::info!("{} more", suppressed, kv: { event = kind });
     }
-    spdlog::info!("{}", text, kv: { event = what });
+    spdlog::info!("{}", text, kv: { event = kind });
 }
 
-pub fn debug(what: &str, text: &str) {
-    spdlog::debug!("{}", text, kv: { event = what });
+/// An event that helps to find faults of the tier itself.
+pub fn debug(kind: &str, text: &str) {
+    spdlog::debug!("{}", text, kv: { event = kind });
 }
 
-pub fn error(what: &str, text: &str) {
-    spdlog::error!("{}", text, kv: { event = what });
+/// A fault that staff must know of.
+pub fn error(kind: &str, text: &str) {
+    spdlog::error!("{}", text, kv: { event = kind });
 }
--- a/crates/tier/src/log/limit.rs
+++ b/crates/tier/src/log/rate_limit.rs
@@ -5,32 +5,32 @@
 use std::time::{Duration, Instant};
 
 /// Lines of one kind in one period, at most.
-const MOST_LINES: u32 = 20;
+const MAX_LINES: u32 = 20;
 const PERIOD: Duration = Duration::from_secs(1);
 
 struct Window {
     began: Instant,
     lines: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
 static WINDOWS: LazyLock<Mutex<HashMap<&'static str, Window>>> = LazyLock::new(Mutex::default);
 
-/// Whether a line of this kind may be written now; with how many were left out since the last period.
-pub fn admit(kind: &'static str) -> Option<u64> {
+/// Where a line of this kind may be written now: how many were suppressed in the period before, `None` where it may not.
+pub(super) fn admit(kind: &'static str) -> Option<u64> {
     let now = Instant::now();
     let mut windows = WINDOWS.lock().ok()?;
-    let window = windows.entry(kind).or_insert(Window { began: now, lines: 0, left_out: 0 });
-    let mut left_out = 0;
+    let window = windows.entry(kind).or_insert(Window { began: now, lines: 0, suppressed: 0 });
+    let mut suppressed = 0;
     if now.duration_since(window.began) >= PERIOD {
-        left_out = std::mem::take(&mut window.left_out);
+        suppressed = std::mem::take(&mut window.suppressed);
         window.began = now;
         window.lines = 0;
     }
-    if window.lines == MOST_LINES {
-        window.left_out += 1;
+    if window.lines == MAX_LINES {
+        window.suppressed += 1;
         return None;
     }
     window.lines += 1;
-    Some(left_out)
+    Some(suppressed)
 }
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -254,7 +254,7 @@
         let begun = Instant::now();
         let result = what(&mut self.coordinator.borrow_mut(), self.clock.now());
         self.pump();
-        self.steps.ended(step, begun.elapsed());
+        self.steps.record(step, begun.elapsed());
         result
     }
 
@@ -390,7 +390,7 @@
             }
             for _ in 0..BURST {
                 let Ok((length, from)) = self.socket.try_recv_from(&mut buffer) else { break };
-                if !self.peers.faults.may_hear(from) {
+                if !self.peers.faults.may_receive(from) {
                     continue;
                 }
                 if let Ok(payload) = self.envelope.open(&buffer[..length]) {
--- a/crates/tier/src/peers.rs
+++ b/crates/tier/src/peers.rs
@@ -184,7 +184,7 @@
                 }
                 // A peer says nothing here: what can be read is the end.
                 _ = stream.read(&mut none) => return Err(io::ErrorKind::ConnectionReset.into()),
-                () = self.faults.until_reset() => return Err(io::ErrorKind::ConnectionReset.into()),
+                () = self.faults.wait_for_reset() => return Err(io::ErrorKind::ConnectionReset.into()),
                 () = sleep(IDLE) => return Ok(()),
             }
         }
@@ -226,9 +226,9 @@
             buffer.reserve(4096);
             let read = tokio::select! {
                 read = stream.read_buf(&mut buffer) => read?,
-                () = self.faults.until_reset() => return Err(io::ErrorKind::ConnectionReset.into()),
+                () = self.faults.wait_for_reset() => return Err(io::ErrorKind::ConnectionReset.into()),
             };
-            passable(|| self.faults.may_hear(from)).await?;
+            passable(|| self.faults.may_receive(from)).await?;
             if read == 0 {
                 return Ok(());
             }
@@ -244,8 +244,8 @@
         if waited >= SILENT {
             return Err(io::ErrorKind::TimedOut.into());
         }
-        sleep(faults::LOOK).await;
-        waited += faults::LOOK;
+        sleep(faults::POLL_INTERVAL).await;
+        waited += faults::POLL_INTERVAL;
     }
     Ok(())
 }
--- a/crates/tier/src/process_memory.rs
+++ b/crates/tier/src/process_memory.rs
@@ -1,16 +1,16 @@
-//! The memory of a process, as the system counts it.
+//! The memory of a process, as the kernel counts it in `/proc/PID/status`.
 
-/// What of a process's memory is asked for.
+/// Which count of a process's memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemoryMetric {
-    /// The most that it has had at once.
+    /// The largest resident set since the process began.
     Peak,
-    /// What it has now.
+    /// The resident set now.
     Resident,
 }
 
 impl MemoryMetric {
-    /// What its line begins with.
+    /// The label of its line.
     fn label(self) -> &'static str {
         match self {
             MemoryMetric::Peak => "VmHWM:",
@@ -19,9 +19,9 @@
     }
 }
 
-/// A figure in KiB; nothing where the system does not tell. `process` is an id, or `self`.
-pub fn read_kibibytes(process: &str, figure: MemoryMetric) -> Option<u64> {
+/// A count of a process's memory in KiB; `None` where the system does not say. `process` is a process id, or `self`.
+pub fn read_kibibytes(process: &str, metric: MemoryMetric) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
-    let rest = status.lines().find_map(|line| line.strip_prefix(figure.label()))?;
-    rest.trim().strip_suffix("kB")?.trim().parse().ok()
+    let value = status.lines().find_map(|line| line.strip_prefix(metric.label()))?;
+    value.trim().strip_suffix("kB")?.trim().parse().ok()
 }
--- a/crates/tier/src/roles.rs
+++ b/crates/tier/src/roles.rs
@@ -108,7 +108,7 @@
     if options.tied {
         tie();
     }
-    log::start(&settings.node, &settings.log_level);
+    log::init(&settings.node, &settings.log_level);
     if mechanisms != Mechanisms::all() {
         log::event("experiment", &format!("left out: {}", options.without.join(", ")));
     }
@@ -130,7 +130,7 @@
     if options.tied {
         tie();
     }
-    log::start(&options.name, "info");
+    log::init(&options.name, "info");
     let micros = |ms: f64| (ms.clamp(0.01, 60_000.0) * 1000.0) as rainlug::Time;
     let told = WorkerSettings {
         id: format!("{}-{drawn:08x}", options.name),
--- a/crates/tier/tests/faults.rs
+++ b/crates/tier/tests/faults.rs
@@ -46,12 +46,12 @@
     let (other, third): (SocketAddr, SocketAddr) =
         ("127.0.0.2:7".parse().unwrap(), "127.0.0.3:7".parse().unwrap());
     let faults = Faults::default();
-    assert!(faults.may_send(other) && faults.may_hear(other), "nothing is in the way by itself");
-    faults.read("to 127.0.0.2:7\nfrom 127.0.0.3:7\nto nobody\nnonsense\nreset x\n");
-    assert!(!faults.may_send(other) && faults.may_hear(other));
-    assert!(faults.may_send(third) && !faults.may_hear(third));
-    faults.read("");
-    assert!(faults.may_send(other) && faults.may_hear(third));
+    assert!(faults.may_send(other) && faults.may_receive(other), "nothing is in the way by itself");
+    faults.apply("to 127.0.0.2:7\nfrom 127.0.0.3:7\nto nobody\nnonsense\nreset x\n");
+    assert!(!faults.may_send(other) && faults.may_receive(other));
+    assert!(faults.may_send(third) && !faults.may_receive(third));
+    faults.apply("");
+    assert!(faults.may_send(other) && faults.may_receive(third));
 }
 
 #[test]
@@ -60,15 +60,15 @@
         let (peers, to, hears, mut told) = pair().await;
         send(&peers, to, "first");
         assert_eq!(told.recv().await.unwrap(), "first");
-        peers.faults.read(&format!("to {to}"));
+        peers.faults.apply(&format!("to {to}"));
         send(&peers, to, "second");
         assert!(timeout(QUIET, told.recv()).await.is_err());
-        peers.faults.read("");
+        peers.faults.apply("");
         assert_eq!(told.recv().await.unwrap(), "second");
-        hears.faults.read(&format!("from {}", me()));
+        hears.faults.apply(&format!("from {}", me()));
         send(&peers, to, "third");
         assert!(timeout(QUIET, told.recv()).await.is_err());
-        hears.faults.read("");
+        hears.faults.apply("");
         assert_eq!(told.recv().await.unwrap(), "third");
     });
 }
@@ -83,14 +83,14 @@
         }));
         send(&peers, to, "first");
         assert_eq!(told.recv().await.unwrap(), "first");
-        peers.faults.read(&format!("reset 0\nto {to}"));
+        peers.faults.apply(&format!("reset 0\nto {to}"));
         send(&peers, to, "second");
         assert_eq!(broken.recv().await.unwrap(), to, "after the time without an acknowledgement");
-        peers.faults.read("reset 0");
+        peers.faults.apply("reset 0");
         sleep(QUIET).await;
         send(&peers, to, "third");
         assert_eq!(told.recv().await.unwrap(), "third", "what was on its way is lost");
-        peers.faults.read("reset 1");
+        peers.faults.apply("reset 1");
         assert_eq!(broken.recv().await.unwrap(), to);
         send(&peers, to, "fourth");
         assert_eq!(told.recv().await.unwrap(), "fourth");
