--- a/crates/tier/src/clock.rs
+++ b/crates/tier/src/clock.rs
@@ -22,8 +22,7 @@
 impl Clock {
     /// A clock whose steady time begins now.
     pub fn start() -> Self {
-        let started_wall =
-            SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Time);
+        let started_wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Time);
         Clock { started: Instant::now(), started_wall }
     }
 
--- a/crates/tier/src/main.rs
+++ b/crates/tier/src/main.rs
@@ -148,7 +148,7 @@
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => exit_with_error(1, &error),
         },
-        Rainlug::Check { files } => ExitCode::from(if check::run(&files) { 0 } else { 2 }),
+        Rainlug::Check { files } => ExitCode::from(if check::check_files(&files) { 0 } else { 2 }),
         Rainlug::Members(a) => show(operator::list::<Members>(&a.at, a.json)),
         Rainlug::Workers(a) => show(operator::list::<Workers>(&a.at, a.json)),
         Rainlug::Parts(a) => show(operator::list::<Parts>(&a.at, a.json)),
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -114,8 +114,8 @@
     pub async fn run(role: Role, settings: Settings, mechanisms: Mechanisms) -> Result<(), Error> {
         let clock = Clock::start();
         let (saved, mut on_disk) = mpsc::unbounded_channel::<Told>();
-        let peer = settings.peer();
-        let seeds = settings.seed_peers();
+        let peer = settings.peer_address();
+        let seeds = settings.seed_peer_addresses();
         let founds = settings.first_boot && role == Role::Gateway && seeds.contains(&peer);
         let drawn = if founds { founding_id(peer) } else { draw().max(1) };
         let disk_bytes = (settings.limits.disk_mb.max(1.0) * 1e6) as u64;
@@ -137,7 +137,7 @@
             first_boot: settings.first_boot,
             seeds,
             tolerate: settings.tolerate.machines as usize,
-            heartbeat: settings.beat_ms as Time * 1000,
+            heartbeat: settings.heartbeat_ms as Time * 1000,
             disk_bytes: disk_bytes as usize,
             memory_bytes: (settings.limits.memory_mb * 1e6) as usize,
             link_bytes_per_second: settings.limits.link_bytes_per_second(),
--- a/crates/tier/src/operator.rs
+++ b/crates/tier/src/operator.rs
@@ -14,6 +14,7 @@
 
 use crate::check;
 use crate::listings::Listing;
+use crate::settings::{self, Finding};
 
 /// An answer must be had in this time, also where a first one says that it is to be asked again.
 const ANSWER: Duration = Duration::from_secs(3);
@@ -30,18 +31,16 @@
         /// The other side's word.
         Answered(status: u16, said: String) { display("answered {}{}", status, said) }
         DecodeError(what: &'static str) { display("{}: not what a rainlug of this version answers", what) }
-        File(path: PathBuf, findings: Vec<(String, String)>) {
-            display("{}: {}", path.display(), lines(findings).join("; "))
+        File(path: PathBuf, findings: Vec<Finding>) {
+            display("{}: {}", path.display(), one_line(findings))
         }
         Unfinished(what: String) { display("{}", what) }
     }
 }
 
-fn lines(findings: &[(String, String)]) -> Vec<String> {
-    findings
-        .iter()
-        .map(|(place, expected)| format!("{place}: {}", expected.replace(['\n', '\r'], " ")))
-        .collect()
+/// Findings in one line.
+fn one_line(findings: &[Finding]) -> String {
+    settings::join(findings).replace(['\n', '\r'], " ")
 }
 
 impl Error {
@@ -171,9 +170,9 @@
 
 fn file(path: &Path) -> Result<Configuration, Error> {
     let wrong = |findings| Error::File(path.to_owned(), findings);
-    let bytes = std::fs::read(path).map_err(|e| wrong(vec![("/".to_owned(), e.to_string())]))?;
+    let bytes = std::fs::read(path).map_err(|e| wrong(vec![Finding::of_file(e.to_string())]))?;
     let text = Bytes::from(bytes);
-    Configuration::parse(&text).map_err(|_| wrong(check::configuration(text)))
+    Configuration::parse(&text).map_err(|_| wrong(check::check_configuration(text)))
 }
 
 /// The configuration in force; none where there is none yet.
--- a/crates/tier/tests/check.rs
+++ b/crates/tier/tests/check.rs
@@ -92,7 +92,7 @@
 #[test]
 fn a_sound_file_is_sound_and_fields_that_are_not_known_do_not_matter() {
     assert_eq!(checked("node.toml", SOUND), (Some(0), vec!["sound".to_owned()]));
-    let settings = Settings::read(SOUND).unwrap();
+    let settings = Settings::parse(SOUND).unwrap();
     assert_eq!(
         (settings.node.as_str(), settings.port_range, settings.bounds.pass_ms),
         ("edge-bergen-nord-1", (7660, 7675), 120.0)
@@ -106,7 +106,7 @@
 #[test]
 fn link_and_time_to_be_whole_are_read_and_have_defaults_where_the_file_does_not_tell() {
     let of = |text: &str| {
-        let settings = Settings::read(text).unwrap();
+        let settings = Settings::parse(text).unwrap();
         (settings.limits.link_bytes_per_second(), settings.bounds.sync_time())
     };
     let slow =
@@ -139,7 +139,7 @@
     ];
     assert_eq!(places(&lines), expected, "{lines:#?}");
     assert!(lines.iter().all(|line| line.contains("expected")), "{lines:#?}");
-    assert_eq!(Settings::read(TEN_FAULTS).unwrap_err().len(), expected.len());
+    assert_eq!(Settings::parse(TEN_FAULTS).unwrap_err().len(), expected.len());
 }
 
 #[test]
@@ -175,19 +175,19 @@
         .replace("data_dir = \"/data/my-edge\"\n", "");
     assert_eq!(places(&checked("node.toml", &store).1), ["data_dir"]);
     // A process that does not need them starts all the same.
-    assert!(Settings::read(&text).is_ok() && Settings::read(&store).is_ok());
+    assert!(Settings::parse(&text).is_ok() && Settings::parse(&store).is_ok());
 }
 
 #[test]
 fn a_part_that_is_no_table_is_told_once_and_broken_toml_with_its_line() {
     let text = SOUND.replace("[limits]", "limits = 3\n[other]");
     // What was meant for `limits` is another part's now.
-    let found = Settings::read(&text.replace("limits = 3\n", "")).unwrap_err();
+    let found = Settings::parse(&text.replace("limits = 3\n", "")).unwrap_err();
     assert_eq!(found.len(), 3, "{found:?}");
     let flat = format!("limits = 3\n{}", SOUND.replace("[limits]", "[other]"));
-    let found = Settings::read(&flat).unwrap_err();
+    let found = Settings::parse(&flat).unwrap_err();
     assert!(
-        matches!(&found[..], [one] if one.starts_with("limits: a table expected, 3 is there")),
+        matches!(&found[..], [one] if one.to_string().starts_with("limits: a table expected, 3 is there")),
         "{found:?}"
     );
     let (code, lines) = checked("node.toml", "node = \"a\"\nzone = \n");
@@ -217,15 +217,15 @@
     ) {
         let end = (at + cut).min(SOUND.len());
         let text = [&SOUND[..at], &put, &SOUND[end..]].concat();
-        let findings = check::settings(&text);
-        prop_assert!(Settings::read(&text).is_ok() || !findings.is_empty());
-        prop_assert!(findings.iter().all(|(place, expected)| !place.is_empty() && !expected.is_empty()));
+        let findings = Settings::check(&text);
+        prop_assert!(Settings::parse(&text).is_ok() || !findings.is_empty());
+        prop_assert!(findings.iter().all(|found| !found.place.is_empty() && !found.expected.is_empty()));
     }
 
     #[test]
     fn any_bytes_are_a_configuration_or_named(bytes in prop::collection::vec(any::<u8>(), 0..200), at in 0..400usize) {
         let mut text = TEN_FAULTS_JSON.as_bytes()[..at.min(TEN_FAULTS_JSON.len())].to_vec();
         text.extend(bytes);
-        prop_assert!(!check::configuration(text.into()).is_empty());
+        prop_assert!(!check::check_configuration(text.into()).is_empty());
     }
 }
