--- /dev/null
+++ b/crates/batch/tests/outside.rs
@@ -0,0 +1,39 @@
+//! The JSON of a batch job that is handed in: every key, and what is said where one is absent or of another type.
+
+#[path = "../../../tests/common/fixture.rs"]
+mod fixture;
+#[path = "../../../tests/common/keys.rs"]
+mod keys;
+
+use rainlug_batch::read_requests;
+use serde_json::{Value, json};
+
+fn submission() -> Value {
+    json!({"requests": [{"id": "item-1", "path": "/batch/1", "headers": {"X-Rainlug-Model": "m"}, "body": "aGVsbG8=",
+        "token_count": 320}]})
+}
+
+fn said(text: &Value) -> String {
+    match read_requests(text.to_string().as_bytes()) {
+        Ok(items) => {
+            let line = |i: &rainlug_batch::Item| {
+                format!("{} {} {:?} {:?} {}", i.id, i.path, i.headers, i.body, i.token_count)
+            };
+            format!("taken: {}", items.iter().map(line).collect::<Vec<_>>().join("; "))
+        }
+        Err(error) => format!("refused: {}", error.to_string().replace('\n', " ")),
+    }
+}
+
+#[test]
+fn every_key_of_a_batch_job_is_read_by_its_name() {
+    fixture::assert_same("submission.txt", &keys::said_of_each_key(&submission(), said));
+}
+
+#[test]
+fn keys_that_are_not_known_are_skipped() {
+    let mut more = submission();
+    more["not_known"] = json!({"odd": true});
+    more["requests"][0]["not_known"] = json!([1]);
+    assert_eq!(said(&more), said(&submission()));
+}
--- /dev/null
+++ b/crates/registry/tests/outside.rs
@@ -0,0 +1,136 @@
+//! The JSON that operators and workers send: every key, and what is said where one is absent or of another type.
+
+#[path = "../../../tests/common/fixture.rs"]
+mod fixture;
+#[path = "../../../tests/common/keys.rs"]
+mod keys;
+
+use bytes::Bytes;
+use rainlug_registry::{Configuration, Findings, Kind, Route, Service, Worker};
+use serde_json::{Value, json};
+
+/// A configuration with all keys that are read.
+fn configuration() -> Value {
+    json!({
+        "version": 5,
+        "routes": [
+            {"name": "ask", "host": "a.example", "path_prefix": "/ask/", "kind": "idempotent", "timeout_ms": 5000,
+             "target_ms": 1000, "priority": 1, "service": "model", "max_tries": 3},
+            {"name": "pay", "host": "a.example", "path_prefix": "/pay/", "kind": "mutating", "timeout_ms": 4000,
+             "split": [{"service": "model", "weight": 0.5}, {"service": "other", "weight": 1.5}]},
+            {"name": "chat", "host": "a.example", "path_prefix": "/chat/", "kind": "streaming", "timeout_ms": 3000,
+             "service": "model", "sticky": true, "resumable": true, "gap_aim_ms": 500},
+            {"name": "batch", "host": "b.example", "path_prefix": "/batch/", "kind": "bulk", "service": "other",
+             "run_target_ms": 60000, "retain_s": 300.5, "max_queued_tokens": 1000}
+        ],
+        "services": [
+            {"name": "model", "health_path": "/liveness", "max_conns": 64,
+             "backend": {"slots": 8, "kv_capacity_tokens": 60000, "stride": 4}},
+            {"name": "other"}
+        ],
+        "limits": {"max_header_bytes": 16385, "max_body_bytes": 4194305, "header_timeout_ms": 3001, "idle_timeout_ms": 15001}
+    })
+}
+
+/// What a worker tells of itself.
+fn beat() -> Value {
+    json!({"service": "model", "zone": "north", "address": "10.0.0.1:7403", "state": "draining", "slots": 8,
+        "cold_left_ms": 1200, "call_seq": 9})
+}
+
+fn bytes(value: &Value) -> Bytes {
+    Bytes::from(value.to_string())
+}
+
+fn refused(findings: &Findings) -> String {
+    format!("refused: {findings}")
+}
+
+/// What was read: a line for each key of the text, with its value.
+fn read(text: &Value) -> Result<Vec<String>, Findings> {
+    let found = Configuration::read(&bytes(text))?;
+    let mut lines = vec![format!("version {}", found.version)];
+    found.routes.iter().for_each(|r| lines.extend(route(r)));
+    found.services.iter().for_each(|s| lines.extend(service(s)));
+    let limits = found.limits;
+    lines.push(format!("limits max_header_bytes {}", limits.max_header_bytes));
+    lines.push(format!("limits max_body_bytes {}", limits.max_body_bytes));
+    lines.push(format!("limits header_timeout_ms {}", limits.header_timeout_ms));
+    lines.push(format!("limits idle_timeout_ms {}", limits.idle_timeout_ms));
+    Ok(lines)
+}
+
+fn route(r: &Route) -> Vec<String> {
+    let values = [
+        ("host", r.host.clone()),
+        ("path_prefix", r.path_prefix.clone()),
+        ("kind", kind(r.kind).to_owned()),
+        ("timeout_ms", r.timeout_ms.to_string()),
+        ("target_ms", r.target_ms.to_string()),
+        ("priority", r.priority.to_string()),
+        ("split", format!("{:?}", r.split)),
+        ("max_tries", r.max_tries.to_string()),
+        ("sticky", r.sticky.to_string()),
+        ("resumable", r.resumable.to_string()),
+        ("gap_aim_ms", r.gap_aim_ms.to_string()),
+        ("run_target_ms", r.run_target_ms.to_string()),
+        ("retain_s", r.retain_s.to_string()),
+        ("max_queued_tokens", r.max_queued_tokens.to_string()),
+    ];
+    values.into_iter().map(|(key, value)| format!("{} {key} {value}", r.name)).collect()
+}
+
+fn service(s: &Service) -> Vec<String> {
+    let values = [
+        ("health_path", s.health_path.clone()),
+        ("max_conns", s.max_conns.to_string()),
+        ("slots", s.slots.to_string()),
+        ("kv_capacity_tokens", s.kv_capacity_tokens.to_string()),
+        ("stride", s.stride.to_string()),
+    ];
+    values.into_iter().map(|(key, value)| format!("{} {key} {value}", s.name)).collect()
+}
+
+fn kind(of: Kind) -> &'static str {
+    match of {
+        Kind::Idempotent => "idempotent",
+        Kind::Mutating => "mutating",
+        Kind::Streaming => "streaming",
+        Kind::Bulk => "bulk",
+    }
+}
+
+#[test]
+fn every_key_of_a_configuration_is_read_by_its_name() {
+    let whole = read(&configuration()).unwrap();
+    let said = |text: &Value| match read(text) {
+        Ok(lines) => {
+            let changed: Vec<String> = lines.into_iter().filter(|line| !whole.contains(line)).collect();
+            format!("taken, {}", changed.join(", "))
+        }
+        Err(findings) => refused(&findings),
+    };
+    let keys = keys::said_of_each_key(&configuration(), said);
+    fixture::assert_same("configuration.txt", &format!("{}\n\n{keys}", whole.join("\n")));
+}
+
+#[test]
+fn every_key_of_a_worker_s_beat_is_read_by_its_name() {
+    let said = |text: &Value| match Worker::read("w1", &bytes(text)) {
+        Ok(w) => format!(
+            "{} service {} zone {} address {} {:?} slots {} cold_left_ms {} call_seq {}",
+            w.id, w.service, w.zone, w.address, w.phase, w.slots, w.cold_left_ms, w.call_seq
+        ),
+        Err(findings) => refused(&findings),
+    };
+    fixture::assert_same("beat.txt", &keys::said_of_each_key(&beat(), said));
+}
+
+#[test]
+fn keys_that_are_not_known_are_skipped() {
+    let mut more = configuration();
+    for outer in ["", "/routes/0", "/services/0", "/services/0/backend", "/limits"] {
+        more.pointer_mut(outer).unwrap()["not_known"] = json!({"odd": true});
+    }
+    assert_eq!(read(&more), read(&configuration()));
+}
