--- a/crates/batch/examples/costs.rs
+++ b/crates/batch/examples/costs.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use rainlug_batch::{Command, Item, Register, RegisterRestore, State, StoredText};
+use rainlug_batch::{Command, Item, ItemOutcome, JobTable, JobTableRestore, StoredText};
 
 /// Texts of each kind and length.
 const TEXTS: usize = 400;
@@ -64,8 +64,8 @@
 }
 
 /// With all items listed, each with a text of 3.3 KB.
-fn full_register(random: &mut Random) -> Register {
-    let mut register = Register::default();
+fn full_register(random: &mut Random) -> JobTable {
+    let mut table = JobTable::default();
     for job in 0..JOBS {
         let item = |id: u64| Item {
             id: format!("{job:016x}-{id:06}"),
@@ -75,48 +75,48 @@
             token_count: 1,
         };
         let id = format!("{job:016x}");
-        register.apply(&Command::Submit {
+        table.apply(&Command::Submit {
             job: id.clone(),
             route: "bulk".into(),
             host: "bulk.example".into(),
-            sent: 1,
-            due: 2,
-            retain: 3,
-            max_tries: 1,
-            most: 0,
+            submitted_at: 1,
+            deadline: 2,
+            retain_until: 3,
+            max_attempts: 1,
+            max_waiting_tokens: 0,
             items: (0..ITEMS).map(item).collect(),
         });
         for item in 0..ITEMS {
             let text = StoredText::plain(random.letters(3300).as_bytes());
             let item = format!("{job:016x}-{item:06}");
-            register.apply(&Command::List { job: id.clone(), item, state: State::Complete, text });
+            table.apply(&Command::FinishItem { job: id.clone(), item, outcome: ItemOutcome::Complete, text });
         }
     }
-    register
+    table
 }
 
-fn show_snapshot(register: &Register) {
+fn show_snapshot(table: &JobTable) {
     let start = Instant::now();
-    let snapshot = register.snapshot();
+    let snapshot = table.snapshot();
     let taken = start.elapsed();
-    let mut restore = RegisterRestore::default();
+    let mut restore = JobTableRestore::default();
     let (mut encode, mut take) = (Vec::new(), Vec::new());
-    for number in 0..snapshot.chunks() {
+    for number in 0..snapshot.chunk_count() {
         let start = Instant::now();
         let chunk = snapshot.chunk(number);
         encode.push(start.elapsed());
         let start = Instant::now();
-        restore.take(&chunk).expect("a piece of a snapshot");
+        restore.add_chunk(&chunk).expect("a piece of a snapshot");
         take.push(start.elapsed());
     }
     let start = Instant::now();
     let restored = restore.finish().expect("a whole snapshot");
     let finish = start.elapsed();
-    assert_eq!(restored.size(), register.size());
+    assert_eq!(restored.memory_bytes(), table.memory_bytes());
     println!(
         "{} bytes in {} pieces; snapshot {taken:?}, finish {finish:?}",
-        snapshot.size(),
-        snapshot.chunks()
+        snapshot.encoded_len(),
+        snapshot.chunk_count()
     );
     for (name, times) in [("encode", encode), ("restore", take)] {
         let sum: Duration = times.iter().sum();
--- a/crates/batch/src/command.rs
+++ b/crates/batch/src/command.rs
@@ -1,11 +1,23 @@
 use bytes::Bytes;
 use deku::ctx::Endian;
 use deku::prelude::*;
+use quick_error::quick_error;
 use rainlug::Time;
 
 use crate::text::{self, StoredText};
 use crate::wire::{self, Source};
-use crate::{DecodeError, OpenJob, ReportNumber};
+use crate::{JobUsage, UsageReportNumber};
+
+quick_error! {
+    /// Why bytes could not be decoded.
+    #[derive(Debug, Clone, PartialEq, Eq)]
+    pub enum DecodeError {
+        /// The bytes are not one [`Command`].
+        Command(cause: DekuError) { display("malformed command: {}", cause) }
+        /// The bytes are not a snapshot of a [`QuotaLedger`](crate::QuotaLedger).
+        QuotaLedger(cause: DekuError) { display("malformed quota ledger: {}", cause) }
+    }
+}
 
 /// An item as it was handed in. Decoded, its body is a slice of the command.
 #[derive(Clone, Debug, PartialEq, DekuRead, DekuWrite)]
@@ -38,7 +50,7 @@
 /// How an item was listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", ctx = "endian: Endian", ctx_default = "Endian::Little", endian = "endian")]
-pub enum State {
+pub enum ItemOutcome {
     #[deku(id = 0)]
     Complete,
     #[deku(id = 1)]
@@ -68,11 +80,11 @@
             writer = "wire::write_bytes(deku::writer, host.as_bytes())"
         )]
         host: String,
-        sent: Time,
-        due: Time,
-        retain: Time,
-        max_tries: u32,
-        most: u64,
+        submitted_at: Time,
+        deadline: Time,
+        retain_until: Time,
+        max_attempts: u32,
+        max_waiting_tokens: u64,
         #[deku(
             reader = "wire::read_list(deku::reader, source)",
             writer = "wire::write_list(deku::writer, items)"
@@ -82,7 +94,7 @@
     /// The next position of the batch job; nothing where the item is listed already or the batch job is not
     /// known.
     #[deku(id = 1)]
-    List {
+    FinishItem {
         #[deku(
             reader = "wire::read_text(deku::reader, source)",
             writer = "wire::write_bytes(deku::writer, job.as_bytes())"
@@ -93,7 +105,7 @@
             writer = "wire::write_bytes(deku::writer, item.as_bytes())"
         )]
         item: String,
-        state: State,
+        outcome: ItemOutcome,
         /// Decoded, it is a slice of the command.
         #[deku(reader = "text::read(deku::reader, source)", writer = "text::write(deku::writer, text)")]
         text: StoredText,
@@ -105,7 +117,7 @@
             writer = "wire::write_bytes(deku::writer, job.as_bytes())"
         )]
         job: String,
-        at: Time,
+        timestamp: Time,
     },
     /// Forgets batch jobs sent before, where all is listed or ended; those sent first, and of many a bounded
     /// number.
@@ -127,26 +139,26 @@
         job: String,
         shard: u16,
         tokens: u64,
-        most: u64,
-        at: Time,
+        max_waiting_tokens: u64,
+        timestamp: Time,
     },
     /// Of the ledger: all unfinished batch jobs of a route in `part`, as that part's leader reports them, and those that have
     /// finished since its last report.
     #[deku(id = 5)]
-    Settle {
+    ReportUsage {
         #[deku(
             reader = "wire::read_text(deku::reader, source)",
             writer = "wire::write_bytes(deku::writer, route.as_bytes())"
         )]
         route: String,
         shard: u16,
-        number: ReportNumber,
-        at: Time,
+        number: UsageReportNumber,
+        timestamp: Time,
         #[deku(
             reader = "wire::read_list(deku::reader, source)",
-            writer = "wire::write_list(deku::writer, open)"
+            writer = "wire::write_list(deku::writer, usage)"
         )]
-        open: Vec<OpenJob>,
+        usage: Vec<JobUsage>,
     },
 }
 
@@ -155,8 +167,8 @@
     pub fn encode(&self) -> Bytes {
         let about = match self {
             Command::Submit { items, .. } => items.iter().map(|i| 512 + i.body.len()).sum(),
-            Command::List { text, .. } => text.stored().len(),
-            Command::Settle { open, .. } => open.iter().map(|open| 16 + open.job.len()).sum(),
+            Command::FinishItem { text, .. } => text.stored().len(),
+            Command::ReportUsage { usage, .. } => usage.iter().map(|open| 16 + open.job.len()).sum(),
             Command::End { .. } | Command::Forget { .. } | Command::Reserve { .. } => 0,
         };
         wire::encode(self, 512 + about)
@@ -167,6 +179,6 @@
     /// # Errors
     /// Where the bytes are not a command.
     pub fn decode(bytes: &Bytes) -> Result<Self, DecodeError> {
-        wire::decode(bytes).map_err(|e| DecodeError::Malformed(format!("command: {e}")))
+        wire::decode(bytes).map_err(DecodeError::Command)
     }
 }
--- a/crates/batch/src/json.rs
+++ b/crates/batch/src/json.rs
@@ -145,7 +145,7 @@
 }
 
 /// Puts a text in quotes, escaped.
-pub fn put_text(out: &mut String, text: &str) {
+pub fn push_string(out: &mut String, text: &str) {
     out.push('"');
     let mut plain = 0;
     for (at, byte) in text.bytes().enumerate() {
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -4,10 +4,12 @@
 //! of them. [`Schedule`] is its owner's alone: which item runs next. No I/O.
 
 mod command;
+mod item;
 mod job;
+mod job_table;
 mod json;
+mod layout;
 mod quota_ledger;
-mod register;
 mod restore;
 mod schedule;
 mod snapshot;
@@ -15,20 +17,12 @@
 mod text;
 mod wire;
 
-pub use command::{Command, Item, State};
-use quick_error::quick_error;
-pub use quota_ledger::{Booked, MAX_JOBS, OpenJob, QuotaLedger, RESERVATION_GRACE, ReportNumber};
-pub use register::{Applied, Register, Totals};
-pub use restore::RegisterRestore;
-pub use schedule::{MOST_OVERDUE, Next, RunEnd, Schedule};
-pub use snapshot::{CHUNK_BYTES, RegisterSnapshot};
-pub use submission::read_requests;
-pub use text::{MOST_INFLATED, StoredText};
-
-quick_error! {
-    /// Why bytes were not taken.
-    #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum DecodeError {
-        Malformed(what: String) { display("malformed: {}", what) }
-    }
-}
+pub use command::{Command, DecodeError, Item, ItemOutcome};
+pub use job::ItemTotals;
+pub use job_table::{Applied, JobTable, OpenJob, OutputPage};
+pub use quota_ledger::{JobUsage, MAX_JOBS, QuotaLedger, QuotaOutcome, RESERVATION_GRACE, UsageReportNumber};
+pub use restore::{JobTableRestore, RestoreError};
+pub use schedule::{ItemRun, MAX_PROPOSALS, RunOutcome, Schedule};
+pub use snapshot::{CHUNK_BYTES, JobTableSnapshot};
+pub use submission::{SubmissionError, parse_submission};
+pub use text::{MAX_INFLATED_BYTES, StoredText, StoredTextError};
--- a/crates/batch/src/quota_ledger.rs
+++ b/crates/batch/src/quota_ledger.rs
@@ -20,7 +20,7 @@
 /// A batch job and its tokens that still wait; none where it is finished, so that its reservation is released at once.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
-pub struct OpenJob {
+pub struct JobUsage {
     #[deku(
         reader = "wire::read_text(deku::reader, source)",
         writer = "wire::write_bytes(deku::writer, job.as_bytes())"
@@ -31,13 +31,13 @@
 
 /// What a command did to the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Booked {
+pub enum QuotaOutcome {
     /// The tokens are reserved, by this command or by one before.
     Granted,
     /// The tokens would go over the quota.
     Refused,
     /// The report is entered.
-    Settled,
+    Reported,
     /// A newer report was entered before; this one changes nothing.
     Stale,
 }
@@ -45,7 +45,7 @@
 /// The order of a part's reports: by the term of the leader that made them, then by its own count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian", ctx_default = "deku::ctx::Endian::Little")]
-pub struct ReportNumber {
+pub struct UsageReportNumber {
     pub term: u64,
     pub sequence: u64,
 }
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct ShardAccount {
     /// The newest report that was entered, and when.
-    reported: ReportNumber,
+    reported: UsageReportNumber,
     reported_at: Time,
     jobs: BTreeMap<String, Entry>,
 }
@@ -85,19 +85,20 @@
 
 impl QuotaLedger {
     /// Applies a command; nothing where it is none of the ledger's.
-    pub fn apply(&mut self, command: &Command) -> Option<Booked> {
+    pub fn apply(&mut self, command: &Command) -> Option<QuotaOutcome> {
         match command {
-            Command::Reserve { route, job, shard, tokens, most, at } => {
-                self.advance(*at);
-                Some(self.reserve(route, job, *shard, *tokens, *most))
+            Command::Reserve { route, job, shard, tokens, max_waiting_tokens, timestamp } => {
+                self.advance(*timestamp);
+                Some(self.reserve(route, job, *shard, *tokens, *max_waiting_tokens))
             }
-            Command::Settle { route, shard, number, at, open } => {
-                self.advance(*at);
-                Some(self.settle(route, *shard, *number, open))
-            }
-            Command::Submit { .. } | Command::List { .. } | Command::End { .. } | Command::Forget { .. } => {
-                None
+            Command::ReportUsage { route, shard, number, timestamp, usage } => {
+                self.advance(*timestamp);
+                Some(self.settle(route, *shard, *number, usage))
             }
+            Command::Submit { .. }
+            | Command::FinishItem { .. }
+            | Command::End { .. }
+            | Command::Forget { .. } => None,
         }
     }
 
@@ -107,9 +108,16 @@
         self.routes.retain(|_, account| !account.is_forgotten(clock));
     }
 
-    fn reserve(&mut self, route: &str, job: &str, shard: u16, tokens: u64, most: u64) -> Booked {
-        if !self.has_room(route, job, shard, tokens, most) {
-            return Booked::Refused;
+    fn reserve(
+        &mut self,
+        route: &str,
+        job: &str,
+        shard: u16,
+        tokens: u64,
+        max_waiting_tokens: u64,
+    ) -> QuotaOutcome {
+        if !self.can_reserve(route, job, shard, tokens, max_waiting_tokens) {
+            return QuotaOutcome::Refused;
         }
         let account = self.routes.entry(route.to_owned()).or_default();
         let jobs = &mut account.shards.entry(shard).or_default().jobs;
@@ -118,35 +126,49 @@
         let entry = Entry { tokens: tokens.max(before), reserved_at: self.clock, is_reported: false };
         account.tokens += u128::from(entry.tokens - before);
         jobs.insert(job.to_owned(), entry);
-        Booked::Granted
+        QuotaOutcome::Granted
     }
 
     /// Whether a reservation would be granted now. At most `most` tokens may wait (0: no limit); a batch job that is entered
     /// with as many tokens always has room.
-    pub fn has_room(&self, route: &str, job: &str, shard: u16, tokens: u64, most: u64) -> bool {
+    pub fn can_reserve(
+        &self,
+        route: &str,
+        job: &str,
+        shard: u16,
+        tokens: u64,
+        max_waiting_tokens: u64,
+    ) -> bool {
         let Some(account) = self.routes.get(route) else {
-            return most == 0 || tokens <= most;
+            return max_waiting_tokens == 0 || tokens <= max_waiting_tokens;
         };
         let entry = account.shards.get(&shard).and_then(|shard| shard.jobs.get(job));
         let more = tokens.saturating_sub(entry.map_or(0, |entry| entry.tokens));
-        let fits = most == 0 || account.tokens + u128::from(more) <= u128::from(most);
+        let fits =
+            max_waiting_tokens == 0 || account.tokens + u128::from(more) <= u128::from(max_waiting_tokens);
         match entry {
             Some(_) => more == 0 || fits,
             None => fits && account.jobs() < MAX_JOBS,
         }
     }
 
-    fn settle(&mut self, route: &str, shard: u16, number: ReportNumber, open: &[OpenJob]) -> Booked {
+    fn settle(
+        &mut self,
+        route: &str,
+        shard: u16,
+        number: UsageReportNumber,
+        open: &[JobUsage],
+    ) -> QuotaOutcome {
         let account = self.routes.entry(route.to_owned()).or_default();
         let shard = account.shards.entry(shard).or_default();
         if shard.reported >= number {
-            return Booked::Stale;
+            return QuotaOutcome::Stale;
         }
         account.tokens -= shard.tokens();
         shard.jobs = shard.settled(open, self.clock);
         account.tokens += shard.tokens();
         (shard.reported, shard.reported_at) = (number, self.clock);
-        Booked::Settled
+        QuotaOutcome::Reported
     }
 
     /// Whether a report would change an entry, or is the first one of its term.
@@ -154,8 +176,8 @@
         &self,
         route: &str,
         shard: u16,
-        number: ReportNumber,
-        open: &[OpenJob],
+        number: UsageReportNumber,
+        open: &[JobUsage],
         at: Time,
     ) -> bool {
         let Some(shard) = self.routes.get(route).and_then(|account| account.shards.get(&shard)) else {
@@ -167,7 +189,7 @@
     }
 
     /// Tokens of a route that are reserved or wait.
-    pub fn tokens(&self, route: &str) -> u64 {
+    pub fn route_tokens(&self, route: &str) -> u64 {
         self.routes.get(route).map_or(0, |account| u64::try_from(account.tokens).unwrap_or(u64::MAX))
     }
 
@@ -186,8 +208,7 @@
     /// # Errors
     /// Where the bytes are not a snapshot.
     pub fn restore(snapshot: &Bytes) -> Result<Self, DecodeError> {
-        let image: Image =
-            wire::decode(snapshot).map_err(|e| DecodeError::Malformed(format!("ledger: {e}")))?;
+        let image: Image = wire::decode(snapshot).map_err(DecodeError::QuotaLedger)?;
         let routes = image.routes.into_iter().map(|route| (route.route.clone(), Account::of(route)));
         Ok(QuotaLedger { clock: image.clock, routes: routes.collect() })
     }
@@ -220,11 +241,11 @@
     }
 
     /// The entries after a report: those that it names, and the reservations that it may not know of yet.
-    fn settled(&self, open: &[OpenJob], clock: Time) -> BTreeMap<String, Entry> {
+    fn settled(&self, open: &[JobUsage], clock: Time) -> BTreeMap<String, Entry> {
         let is_fresh = |entry: &Entry| !entry.is_reported && clock - entry.reserved_at < RESERVATION_GRACE;
         let fresh = self.jobs.iter().filter(|(_, entry)| is_fresh(entry));
         let mut jobs: BTreeMap<String, Entry> = fresh.map(|(job, entry)| (job.clone(), *entry)).collect();
-        for OpenJob { job, tokens } in open {
+        for JobUsage { job, tokens } in open {
             if *tokens == 0 {
                 jobs.remove(job);
                 continue;
@@ -290,7 +311,7 @@
 #[deku(ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
 struct ShardImage {
     shard: u16,
-    reported: ReportNumber,
+    reported: UsageReportNumber,
     reported_at: Time,
     #[deku(
         reader = "wire::read_list(deku::reader, source)",
--- a/crates/batch/src/schedule.rs
+++ b/crates/batch/src/schedule.rs
@@ -5,16 +5,16 @@
 use rainlug::Time;
 
 use crate::job::{BatchJob, BatchJobHeader};
-use crate::{Applied, Command, Item, Register, State, StoredText};
+use crate::{Applied, Command, Item, ItemOutcome, JobTable, StoredText};
 
 /// Commands that one call of [`Schedule::overdue`] gives, at most: its caller proposes them all in one step.
-pub const MOST_OVERDUE: usize = 256;
+pub const MAX_PROPOSALS: usize = 256;
 /// Items whose time is over that one call of [`Schedule::next`] passes over, at most.
-const MOST_PASSED_OVER: usize = 1024;
+const MAX_EXPIRED_SKIPPED: usize = 1024;
 
 /// An item to run now.
 #[derive(Clone, Debug)]
-pub struct Next {
+pub struct ItemRun {
     pub job: String,
     pub route: String,
     /// The `Host` that the batch job came with.
@@ -22,31 +22,31 @@
     pub item: Item,
     /// The last event had so far (0: none), to go on after it.
     pub last_event: u64,
-    pub due: Time,
+    pub deadline: Time,
     /// When the item may be given up.
-    pub until: Time,
+    pub retain_until: Time,
 }
 
 /// How a run ended, for the schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RunEnd {
+pub enum RunOutcome {
     /// The worker's answer was whole.
     Complete,
     /// A 500: one of the tries that the item has.
     Failed,
     /// A 422: it can never be done.
-    Never,
+    Unprocessable,
     /// It broke off, and goes on after the last event had.
-    Again,
+    Interrupted,
     /// No worker took it.
-    NoRoom,
+    NoCapacity,
 }
 
 /// The part of the mean time of runs that the newest one makes up.
 const NEWEST: f64 = 1.0 / 16.0;
 
 /// Items whose batch jobs one call plans, but for the last one's.
-const MOST_PLANNED: usize = 1024;
+const MAX_ITEMS_PLANNED: usize = 1024;
 
 /// Items in the order in which they run: due time, number of the batch job, place in it. The id at the end finds the plan.
 type Turn = (Time, u64, usize, Arc<str>);
@@ -72,9 +72,9 @@
 
 struct JobPlan {
     number: u64,
-    due: Time,
-    retain: Time,
-    max_tries: u32,
+    deadline: Time,
+    retain_until: Time,
+    max_attempts: u32,
     /// By place; only those still to be listed.
     items: BTreeMap<usize, ItemPlan>,
 }
@@ -90,25 +90,25 @@
 }
 
 impl JobPlan {
-    fn turn(&self, job: &Arc<str>, place: usize) -> Turn {
-        (self.due, self.number, place, job.clone())
+    fn turn(&self, job: &Arc<str>, item_index: usize) -> Turn {
+        (self.deadline, self.number, item_index, job.clone())
     }
 
     /// Places of items that no command lists yet.
     fn unproposed(&self) -> impl Iterator<Item = usize> {
-        self.items.iter().filter(|(_, item)| !item.is_proposed).map(|(place, _)| *place)
+        self.items.iter().filter(|(_, item)| !item.is_proposed).map(|(item_index, _)| *item_index)
     }
 }
 
 impl Schedule {
     /// All that the register has still to list, with no event had. A large plan is made over the next calls, in the order in which
     /// items run.
-    pub fn new(register: &Register, _now: Time) -> Self {
+    pub fn new(table: &JobTable) -> Self {
         let mut open: Vec<&BatchJob> =
-            register.jobs.values().map(|job| &**job).filter(|job| !job.is_closed()).collect();
-        open.sort_unstable_by_key(|job| (job.head.due, job.head.number));
+            table.jobs.values().map(|job| &**job).filter(|job| !job.is_closed()).collect();
+        open.sort_unstable_by_key(|job| (job.header().deadline, job.header().number));
         let mut schedule = Schedule {
-            unplanned: open.into_iter().map(|job| job.head.id.clone()).collect(),
+            unplanned: open.into_iter().map(|job| job.id().clone()).collect(),
             plans: BTreeMap::new(),
             ready: BTreeSet::new(),
             running: BTreeMap::new(),
@@ -116,17 +116,17 @@
             refused: BTreeMap::new(),
             retained: BTreeSet::new(),
         };
-        schedule.plan_more(register);
+        schedule.plan_more(table);
         schedule
     }
 
     /// Plans further batch jobs as the register has them now.
-    fn plan_more(&mut self, register: &Register) {
+    fn plan_more(&mut self, table: &JobTable) {
         let mut planned = 0;
-        while planned < MOST_PLANNED
+        while planned < MAX_ITEMS_PLANNED
             && let Some(id) = self.unplanned.pop_front()
         {
-            if let Some(job) = register.jobs.get(&id).filter(|_| !self.plans.contains_key(&id)) {
+            if let Some(job) = table.jobs.get(&id).filter(|_| !self.plans.contains_key(&id)) {
                 planned += job.items().len().max(1);
                 self.add(job);
             }
@@ -134,18 +134,20 @@
     }
 
     /// After a command was applied to the register.
-    pub fn applied(&mut self, register: &Register, command: &Command, applied: Applied) {
+    pub fn handle_applied(&mut self, table: &JobTable, command: &Command, applied: Applied) {
         match command {
             Command::Submit { job, .. } => {
-                if let (Applied::Accepted, Some(job)) = (applied, register.jobs.get(&**job)) {
-                    self.drop_job(&job.head.id);
+                if let (Applied::Accepted, Some(job)) = (applied, table.jobs.get(&**job)) {
+                    self.drop_job(&job.header().id);
                     self.add(job);
                 }
             }
-            Command::List { job, item, .. } => match register.jobs.get(&**job) {
+            Command::FinishItem { job, item, .. } => match table.jobs.get(&**job) {
                 Some(found) => {
-                    if let Some(place) = found.place(item).filter(|place| !found.is_open(*place)) {
-                        self.drop_item(job, place);
+                    if let Some(item_index) =
+                        found.item_index(item).filter(|item_index| !found.is_open(*item_index))
+                    {
+                        self.drop_item(job, item_index);
                     }
                 }
                 None => self.drop_job(job),
@@ -154,7 +156,7 @@
             // What is forgotten was dropped when it was ended or listed.
             Command::Forget { .. } => {}
             // The ledger's.
-            Command::Reserve { .. } | Command::Settle { .. } => {}
+            Command::Reserve { .. } | Command::ReportUsage { .. } => {}
         }
     }
 
@@ -162,35 +164,39 @@
         if job.is_closed() {
             return;
         }
-        let id = job.head.id.clone();
+        let id = job.id().clone();
         let items: BTreeMap<_, _> = (0..job.items().len())
-            .filter(|place| job.is_open(*place))
-            .map(|place| (place, ItemPlan::default()))
+            .filter(|item_index| job.is_open(*item_index))
+            .map(|item_index| (item_index, ItemPlan::default()))
             .collect();
-        self.ready.extend(items.keys().map(|place| (job.head.due, job.head.number, *place, id.clone())));
-        self.retained.insert((job.head.retain, id.clone()));
-        let BatchJobHeader { number, due, retain, max_tries, .. } = *job.head;
-        self.plans.insert(id, JobPlan { number, due, retain, max_tries, items });
+        self.ready.extend(
+            items
+                .keys()
+                .map(|item_index| (job.header().deadline, job.header().number, *item_index, id.clone())),
+        );
+        self.retained.insert((job.header().retain_until, id.clone()));
+        let BatchJobHeader { number, deadline, retain_until, max_attempts, .. } = **job.header();
+        self.plans.insert(id, JobPlan { number, deadline, retain_until, max_attempts, items });
     }
 
     fn drop_job(&mut self, job: &str) {
-        let places: Vec<_> =
+        let index_by_id: Vec<_> =
             self.plans.get(job).into_iter().flat_map(|plan| plan.items.keys().copied()).collect();
-        places.into_iter().for_each(|place| self.drop_item(job, place));
+        index_by_id.into_iter().for_each(|item_index| self.drop_item(job, item_index));
     }
 
-    fn drop_item(&mut self, job: &str, place: usize) {
+    fn drop_item(&mut self, job: &str, item_index: usize) {
         let Some((id, _)) = self.plans.get_key_value(job) else { return };
         let id = id.clone();
         let Some(plan) = self.plans.get_mut(job) else { return };
-        if plan.items.remove(&place).is_none() {
+        if plan.items.remove(&item_index).is_none() {
             return;
         }
-        let turn = plan.turn(&id, place);
+        let turn = plan.turn(&id, item_index);
         self.ready.remove(&turn);
         self.refused.remove(&turn);
         if plan.items.is_empty() {
-            self.retained.remove(&(plan.retain, id));
+            self.retained.remove(&(plan.retain_until, id));
             self.plans.remove(job);
         }
     }
@@ -198,16 +204,16 @@
     /// The next item to run; it counts as running until `ended`: the one due first of those that can be in time, as long as runs take
     /// of late, and then of the others. Where there is too much to do, what is late already makes nothing else late. Nothing is run
     /// whose time is over. None also where many items have to be passed over; the next call goes on behind them.
-    pub fn next(&mut self, register: &Register, now: Time) -> Option<Next> {
-        self.plan_more(register);
-        let (due, _, place, id) = self.pop_in_time(now)?;
-        let job = register.jobs.get(&*id)?;
-        let item = Item::clone(job.request(place)?);
-        let last_event = self.plans.get(&id)?.items.get(&place)?.last_event;
+    pub fn start_next(&mut self, table: &JobTable, now: Time) -> Option<ItemRun> {
+        self.plan_more(table);
+        let (deadline, _, item_index, id) = self.pop_in_time(now)?;
+        let job = table.jobs.get(&*id)?;
+        let item = Item::clone(job.request(item_index)?);
+        let last_event = self.plans.get(&id)?.items.get(&item_index)?.last_event;
         self.running.insert((id.to_string(), item.id.clone()), now);
-        let BatchJobHeader { route, host, retain, .. } = &*job.head;
-        let (route, host, until) = (route.clone(), host.clone(), *retain);
-        Some(Next { job: id.to_string(), route, host, item, last_event, due, until })
+        let BatchJobHeader { route, host, retain_until, .. } = &**job.header();
+        let (route, host, retain_until) = (route.clone(), host.clone(), *retain_until);
+        Some(ItemRun { job: id.to_string(), route, host, item, last_event, deadline, retain_until })
     }
 
     /// Takes the first ready item that can be in time, or the first one whose time is not over; those before that one are dropped, and
@@ -219,9 +225,9 @@
             self.ready.remove(&turn);
             return Some(turn);
         }
-        for _ in 0..MOST_PASSED_OVER {
+        for _ in 0..MAX_EXPIRED_SKIPPED {
             let turn = self.ready.pop_first()?;
-            if self.plans.get(&turn.3).is_some_and(|plan| plan.retain > now) {
+            if self.plans.get(&turn.3).is_some_and(|plan| plan.retain_until > now) {
                 return Some(turn);
             }
         }
@@ -230,49 +236,49 @@
 
     /// A run has ended with these further events (id, data). Gives the command to propose where the item can be listed now; nothing
     /// where it was listed or its batch job ended meanwhile. Only events with an id over the last one had are taken.
-    pub fn ended(
+    pub fn finish_run(
         &mut self,
-        register: &Register,
+        table: &JobTable,
         now: Time,
         job: &str,
         item: &str,
         events: Vec<(u64, Bytes)>,
-        end: RunEnd,
+        end: RunOutcome,
     ) -> Option<Command> {
         let begun = self.running.remove(&(job.to_owned(), item.to_owned()))?;
-        if end == RunEnd::Complete {
+        if end == RunOutcome::Complete {
             self.note_run_time((now - begun).max(0));
         }
-        let place = register.jobs.get(job)?.place(item)?;
+        let item_index = table.jobs.get(job)?.item_index(item)?;
         let id = self.plans.get_key_value(job)?.0.clone();
         let plan = self.plans.get_mut(job)?;
-        let turn = plan.turn(&id, place);
-        let kept = plan.items.get_mut(&place)?;
+        let turn = plan.turn(&id, item_index);
+        let kept = plan.items.get_mut(&item_index)?;
         for (event, data) in events {
             if event > kept.last_event {
                 kept.last_event = event;
                 kept.events.push(data);
             }
         }
-        kept.failed = kept.failed.saturating_add(u32::from(end == RunEnd::Failed));
-        let state = match end {
-            RunEnd::Complete => Some(State::Complete),
-            RunEnd::Never => Some(State::Abandoned),
-            RunEnd::Failed if kept.failed >= plan.max_tries => Some(State::Abandoned),
-            RunEnd::Failed | RunEnd::Again | RunEnd::NoRoom => None,
+        kept.failed = kept.failed.saturating_add(u32::from(end == RunOutcome::Failed));
+        let outcome = match end {
+            RunOutcome::Complete => Some(ItemOutcome::Complete),
+            RunOutcome::Unprocessable => Some(ItemOutcome::Abandoned),
+            RunOutcome::Failed if kept.failed >= plan.max_attempts => Some(ItemOutcome::Abandoned),
+            RunOutcome::Failed | RunOutcome::Interrupted | RunOutcome::NoCapacity => None,
         };
-        let Some(state) = state else {
+        let Some(outcome) = outcome else {
             if !kept.is_proposed {
                 self.ready.insert(turn);
             }
             return None;
         };
-        let text = match state {
-            State::Complete => StoredText::new(&std::mem::take(&mut kept.events).join(&b'\n')),
-            State::Abandoned => StoredText::default(),
+        let text = match outcome {
+            ItemOutcome::Complete => StoredText::new(&std::mem::take(&mut kept.events).join(&b'\n')),
+            ItemOutcome::Abandoned => StoredText::default(),
         };
-        self.mark_proposed(&id, place);
-        Some(Command::List { job: job.to_owned(), item: item.to_owned(), state, text })
+        self.mark_proposed(&id, item_index);
+        Some(Command::FinishItem { job: job.to_owned(), item: item.to_owned(), outcome, text })
     }
 
     fn note_run_time(&mut self, took: Time) {
@@ -282,32 +288,33 @@
     }
 
     /// A command given to be proposed did not get into the log. `overdue` gives it again, unless a later one lists its item.
-    pub fn refused(&mut self, register: &Register, command: Command) {
-        let Command::List { job, item, .. } = &command else { return };
-        let Some(place) = register.jobs.get(&**job).and_then(|job| job.place(item)) else { return };
+    pub fn requeue_refused(&mut self, table: &JobTable, command: Command) {
+        let Command::FinishItem { job, item, .. } = &command else { return };
+        let Some(item_index) = table.jobs.get(&**job).and_then(|job| job.item_index(item)) else { return };
         let Some((id, plan)) = self.plans.get_key_value(&**job) else { return };
-        if plan.items.contains_key(&place) {
-            self.refused.insert(plan.turn(id, place), command);
+        if plan.items.contains_key(&item_index) {
+            self.refused.insert(plan.turn(id, item_index), command);
         }
     }
 
     /// Commands to propose, [`MOST_OVERDUE`] at most: those that were refused, and one for each item whose time (`retain`) is over,
     /// to list it as abandoned.
-    pub fn overdue(&mut self, register: &Register, now: Time) -> Vec<Command> {
-        self.plan_more(register);
+    pub fn take_proposals(&mut self, table: &JobTable, now: Time) -> Vec<Command> {
+        self.plan_more(table);
         let mut commands = Vec::new();
-        while commands.len() < MOST_OVERDUE
+        while commands.len() < MAX_PROPOSALS
             && let Some((_, command)) = self.refused.pop_first()
         {
             commands.push(command);
         }
-        while commands.len() < MOST_OVERDUE
-            && let Some((retain, id)) = self.retained.first().filter(|(retain, _)| *retain <= now).cloned()
+        while commands.len() < MAX_PROPOSALS
+            && let Some((retain_until, id)) =
+                self.retained.first().filter(|(retain_until, _)| *retain_until <= now).cloned()
         {
-            let most = MOST_OVERDUE - commands.len();
-            let abandoned = self.abandon(register, &id, most);
-            if abandoned.len() < most {
-                self.retained.remove(&(retain, id));
+            let limit = MAX_PROPOSALS - commands.len();
+            let abandoned = self.abandon(table, &id, limit);
+            if abandoned.len() < limit {
+                self.retained.remove(&(retain_until, id));
             }
             commands.extend(abandoned);
         }
@@ -315,38 +322,38 @@
     }
 
     /// Commands that abandon items of a batch job which none lists yet, so many at most.
-    fn abandon(&mut self, register: &Register, id: &Arc<str>, most: usize) -> Vec<Command> {
-        let Some(job) = register.jobs.get(id) else { return Vec::new() };
+    fn abandon(&mut self, table: &JobTable, id: &Arc<str>, limit: usize) -> Vec<Command> {
+        let Some(job) = table.jobs.get(id) else { return Vec::new() };
         let Some(plan) = self.plans.get(id) else { return Vec::new() };
-        let places: Vec<usize> = plan.unproposed().take(most).collect();
-        places
+        let index_by_id: Vec<usize> = plan.unproposed().take(limit).collect();
+        index_by_id
             .into_iter()
-            .filter_map(|place| {
-                let item = job.items().get(place)?.id.to_string();
-                self.mark_proposed(id, place);
-                let (state, text) = (State::Abandoned, StoredText::default());
-                Some(Command::List { job: id.to_string(), item, state, text })
+            .filter_map(|item_index| {
+                let item = job.items().get(item_index)?.id.to_string();
+                self.mark_proposed(id, item_index);
+                let (outcome, text) = (ItemOutcome::Abandoned, StoredText::default());
+                Some(Command::FinishItem { job: id.to_string(), item, outcome, text })
             })
             .collect()
     }
 
     /// The item does not run again. What was refused before of it is not proposed again.
-    fn mark_proposed(&mut self, job: &Arc<str>, place: usize) {
+    fn mark_proposed(&mut self, job: &Arc<str>, item_index: usize) {
         let Some(plan) = self.plans.get_mut(job) else { return };
-        let turn = plan.turn(job, place);
-        let Some(item) = plan.items.get_mut(&place) else { return };
+        let turn = plan.turn(job, item_index);
+        let Some(item) = plan.items.get_mut(&item_index) else { return };
         item.is_proposed = true;
         self.ready.remove(&turn);
         self.refused.remove(&turn);
     }
 
     /// Runs that have not ended.
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
     /// Items that could run now, of those planned so far.
-    pub fn waiting(&self) -> usize {
+    pub fn ready_count(&self) -> usize {
         self.ready.len()
     }
 }
--- a/crates/batch/src/snapshot.rs
+++ b/crates/batch/src/snapshot.rs
@@ -1,6 +1,8 @@
-//! A register as of one moment, encoded piece by piece. Pieces are numbered; the first is a header, and the
-//! others are made of records: for each batch job its head and its items, then for each its outputs. So what
-//! is listed and kept long is not in the same buffers as bodies, which are freed soon.
+//! A job table as of one moment, encoded chunk by chunk.
+//!
+//! Chunks are numbered from 0. The first holds a [`Header`], the others [`Record`]s: for each batch job, by id, its header and its
+//! items; then for each batch job its outputs. Outputs stand apart because a restored table slices its texts and bodies from the
+//! chunks: outputs are kept long, and would keep the memory of bodies that are freed soon.
 
 use std::sync::Arc;
 
@@ -8,32 +10,17 @@
 use deku::ctx::Endian;
 use deku::prelude::*;
 
-use crate::Item;
-use crate::job::{BatchJob, BatchJobHeader, Group, Kept, Output};
-use crate::wire::{self, COUNT, Source};
+use crate::item::{ItemRecord, Output};
+use crate::job::{BatchJob, BatchJobHeader};
+pub use crate::layout::CHUNK_BYTES;
+use crate::layout::{CHUNK_HEADER_LEN, TAG_LEN, group_header_len};
+use crate::wire::{self, Source};
 
-/// A piece is no longer, unless it is one item or output alone.
-pub const CHUNK_BYTES: usize = 64 << 10;
-
-/// Of this encoding.
+/// The version of this encoding.
 pub(crate) const VERSION: u16 = 1;
 
-/// Bytes of a piece besides its records: its number, and their count.
-const CHUNK_HEADER: usize = 2 * COUNT;
-/// Bytes of a record's tag.
-const TAG: usize = 1;
 /// Bytes of [`Record::Header`].
-const HEADER: usize = TAG + size_of::<u16>() + 4 * size_of::<u64>() + size_of::<u32>();
-
-/// Bytes that items or outputs of a batch job may have together in one piece.
-pub(crate) fn run_room(id_len: usize) -> usize {
-    CHUNK_BYTES.saturating_sub(CHUNK_HEADER + run_head(id_len))
-}
-
-/// Bytes of [`Record::Items`] and of [`Record::Outputs`] besides what they list.
-fn run_head(id_len: usize) -> usize {
-    TAG + COUNT + id_len + COUNT
-}
+const HEADER_LEN: usize = TAG_LEN + size_of::<u16>() + 4 * size_of::<u64>() + size_of::<u32>();
 
 #[derive(DekuRead, DekuWrite)]
 #[deku(ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
@@ -46,14 +33,15 @@
     pub records: Vec<Record>,
 }
 
-/// What all the pieces together hold.
+/// What all chunks together hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(ctx = "_endian: Endian", ctx_default = "Endian::Little", endian = "little")]
 pub(crate) struct Header {
     pub version: u16,
+    /// With the header's own.
     pub chunks: u32,
-    /// Batch jobs accepted so far.
-    pub accepted: u64,
+    /// Batch jobs accepted so far, forgotten ones too.
+    pub accepted_count: u64,
     pub jobs: u64,
     pub items: u64,
     pub outputs: u64,
@@ -67,7 +55,7 @@
     #[deku(id = 1)]
     BatchJob {
         #[deku(ctx = "source")]
-        head: BatchJobHeader,
+        header: BatchJobHeader,
         is_ended: bool,
     },
     /// The next items of a batch job.
@@ -82,7 +70,7 @@
             reader = "wire::read_list(deku::reader, source)",
             writer = "wire::write_list(deku::writer, items)"
         )]
-        items: Vec<ItemCode>,
+        items: Vec<ItemRecord>,
     },
     /// The next outputs of a batch job.
     #[deku(id = 3)]
@@ -100,179 +88,140 @@
     },
 }
 
-/// An item; one that is not open has only its id and tokens.
-#[derive(DekuRead, DekuWrite)]
-#[deku(ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
-pub(crate) struct ItemCode {
-    is_open: bool,
-    #[deku(
-        reader = "Item::from_reader_with_ctx(deku::reader, source)",
-        writer = "item.to_writer(deku::writer, ())"
-    )]
-    item: Item,
-}
-
-impl From<&Kept> for ItemCode {
-    fn from(kept: &Kept) -> Self {
-        let item =
-            kept.request.as_deref().cloned().unwrap_or_else(|| closed(kept.id.to_string(), kept.token_count));
-        ItemCode { is_open: kept.request.is_some(), item }
-    }
-}
-
-impl ItemCode {
-    /// Nothing where it is neither open nor freed.
-    pub fn into_kept(self) -> Option<Kept> {
-        let ItemCode { is_open, item } = self;
-        if is_open {
-            return Some(Kept::open(item));
-        }
-        let Item { id, token_count, .. } = &item;
-        let kept = Kept { id: Arc::from(&**id), token_count: *token_count, is_listed: false, request: None };
-        (item == closed(item.id.clone(), item.token_count)).then_some(kept)
-    }
-}
-
-fn closed(id: String, token_count: u64) -> Item {
-    Item { id, path: String::new(), headers: Vec::new(), body: Bytes::new(), token_count }
-}
-
-/// What becomes one record.
+/// What becomes one record. Indices are those of the batch job, and of the group in it.
 #[derive(Clone, Copy)]
-enum Unit {
+enum RecordRef {
     BatchJob(usize),
-    /// With the place of a group of items.
-    Items(usize, usize),
-    /// With the place of a group of outputs.
-    Outputs(usize, usize),
+    Items { job: usize, group: usize },
+    Outputs { job: usize, group: usize },
 }
 
-/// A register as it was when this was taken. It shares what did not change since, and costs little to take
-/// and to clone.
+/// A job table as it was when this was taken. It shares what has not changed since, and is cheap to take and to clone.
 #[derive(Clone)]
-pub struct RegisterSnapshot(Arc<Layout>);
+pub struct JobTableSnapshot(Arc<Contents>);
 
-struct Layout {
+struct Contents {
     header: Header,
     /// By id.
     jobs: Vec<Arc<BatchJob>>,
-    units: Vec<Unit>,
-    /// The first unit of each piece behind the header's.
-    starts: Vec<usize>,
-    size: u64,
+    records: Vec<RecordRef>,
+    /// Index of the first record of each chunk behind the header's.
+    chunk_starts: Vec<usize>,
+    /// Bytes of all chunks.
+    encoded_len: u64,
 }
 
-impl RegisterSnapshot {
-    /// Its cost is in proportion to the batch jobs, not to their contents.
-    pub(crate) fn new(accepted: u64, jobs: Vec<Arc<BatchJob>>) -> Self {
-        let units = units(&jobs);
-        let mut starts = Vec::new();
-        let mut length = 0;
-        let mut size = CHUNK_HEADER + HEADER;
-        for (at, unit) in units.iter().enumerate() {
-            let record = encoded_len(&jobs, *unit);
-            if starts.is_empty() || length + record > CHUNK_BYTES {
-                starts.push(at);
-                length = CHUNK_HEADER;
-                size += CHUNK_HEADER;
+impl JobTableSnapshot {
+    /// Lays out chunks for batch jobs, which are sorted by id. The cost is in proportion to the batch jobs, not to their contents.
+    pub(crate) fn new(accepted_count: u64, jobs: Vec<Arc<BatchJob>>) -> Self {
+        let records = records(&jobs);
+        let mut chunk_starts = Vec::new();
+        let mut chunk_len = 0;
+        let mut encoded_len = CHUNK_HEADER_LEN + HEADER_LEN;
+        for (index, record) in records.iter().enumerate() {
+            let record_len = record.encoded_len(&jobs);
+            if chunk_starts.is_empty() || chunk_len + record_len > CHUNK_BYTES {
+                chunk_starts.push(index);
+                chunk_len = CHUNK_HEADER_LEN;
+                encoded_len += CHUNK_HEADER_LEN;
             }
-            length += record;
-            size += record;
+            chunk_len += record_len;
+            encoded_len += record_len;
         }
         let header = Header {
             version: VERSION,
-            chunks: u32::try_from(1 + starts.len()).unwrap_or(u32::MAX),
-            accepted,
+            chunks: u32::try_from(1 + chunk_starts.len()).unwrap_or(u32::MAX),
+            accepted_count,
             jobs: jobs.len() as u64,
             items: jobs.iter().map(|job| job.items().len() as u64).sum(),
             outputs: jobs.iter().map(|job| job.outputs().len() as u64).sum(),
         };
-        RegisterSnapshot(Arc::new(Layout { header, jobs, units, starts, size: size as u64 }))
+        let encoded_len = encoded_len as u64;
+        JobTableSnapshot(Arc::new(Contents { header, jobs, records, chunk_starts, encoded_len }))
     }
 
-    /// One at least.
-    pub fn chunks(&self) -> usize {
-        1 + self.0.starts.len()
+    /// How many chunks there are: one at least.
+    pub fn chunk_count(&self) -> usize {
+        1 + self.0.chunk_starts.len()
     }
 
-    /// A piece, at most [`PIECE_BYTES`] long unless it is one item or output alone; empty where there is none
-    /// of that number.
+    /// Encodes a chunk, at most [`CHUNK_BYTES`] long unless it is a single item or output; empty where there is none of that number.
     pub fn chunk(&self, number: usize) -> Bytes {
-        if number >= self.chunks() {
+        if number >= self.chunk_count() {
             return Bytes::new();
         }
+        let Contents { header, jobs, records, chunk_starts, .. } = &*self.0;
         let records = match number.checked_sub(1) {
-            None => vec![Record::Header(self.0.header)],
-            Some(at) => {
-                let start = self.0.starts[at];
-                let end = self.0.starts.get(at + 1).copied().unwrap_or(self.0.units.len());
-                self.0.units[start..end].iter().map(|unit| self.record(*unit)).collect()
+            None => vec![Record::Header(*header)],
+            Some(index) => {
+                let start = chunk_starts[index];
+                let end = chunk_starts.get(index + 1).copied().unwrap_or(records.len());
+                records[start..end].iter().map(|record| record.to_record(jobs)).collect()
             }
         };
         let number = u32::try_from(number).unwrap_or(u32::MAX);
         wire::encode(&Chunk { number, records }, CHUNK_BYTES)
     }
 
-    /// Bytes of all pieces.
-    pub fn size(&self) -> u64 {
-        self.0.size
+    /// Bytes of all chunks.
+    pub fn encoded_len(&self) -> u64 {
+        self.0.encoded_len
     }
 
-    /// Batch jobs that two snapshots hold in common: one copy of them is in memory.
-    pub fn shared_jobs(&self, other: &RegisterSnapshot) -> usize {
-        self.0.jobs.iter().filter(|job| other.holds(job)).count()
+    /// How many batch jobs two snapshots share: these are in memory once.
+    pub fn shared_job_count(&self, other: &JobTableSnapshot) -> usize {
+        self.0.jobs.iter().filter(|job| other.shares(job)).count()
     }
 
-    fn holds(&self, job: &Arc<BatchJob>) -> bool {
-        let found = self.0.jobs.binary_search_by(|held| held.head.id.cmp(&job.head.id));
-        found.is_ok_and(|at| Arc::ptr_eq(&self.0.jobs[at], job))
-    }
-
-    fn record(&self, unit: Unit) -> Record {
-        match unit {
-            Unit::BatchJob(job) => {
-                let job = &self.0.jobs[job];
-                Record::BatchJob { head: (*job.head).clone(), is_ended: job.is_ended() }
-            }
-            Unit::Items(job, group) => {
-                let job = &self.0.jobs[job];
-                let items = &job.items()[range(job.item_groups(), group)];
-                Record::Items { job: job.head.id.clone(), items: items.iter().map(ItemCode::from).collect() }
-            }
-            Unit::Outputs(job, group) => {
-                let job = &self.0.jobs[job];
-                let outputs = job.outputs()[range(job.output_groups(), group)].to_vec();
-                Record::Outputs { job: job.head.id.clone(), outputs }
-            }
-        }
+    fn shares(&self, job: &Arc<BatchJob>) -> bool {
+        let found = self.0.jobs.binary_search_by(|own| own.id().cmp(job.id()));
+        found.is_ok_and(|index| Arc::ptr_eq(&self.0.jobs[index], job))
     }
 }
 
-fn units(jobs: &[Arc<BatchJob>]) -> Vec<Unit> {
-    let mut units = Vec::with_capacity(3 * jobs.len());
-    for (at, job) in jobs.iter().enumerate() {
-        units.push(Unit::BatchJob(at));
-        units.extend((0..job.item_groups().len()).map(|group| Unit::Items(at, group)));
+/// All records behind the header, in their order.
+fn records(jobs: &[Arc<BatchJob>]) -> Vec<RecordRef> {
+    let mut records = Vec::with_capacity(3 * jobs.len());
+    for (index, job) in jobs.iter().enumerate() {
+        records.push(RecordRef::BatchJob(index));
+        records.extend((0..job.item_groups().len()).map(|group| RecordRef::Items { job: index, group }));
     }
-    for (at, job) in jobs.iter().enumerate() {
-        units.extend((0..job.output_groups().len()).map(|group| Unit::Outputs(at, group)));
+    for (index, job) in jobs.iter().enumerate() {
+        records.extend((0..job.output_groups().len()).map(|group| RecordRef::Outputs { job: index, group }));
     }
-    units
+    records
 }
 
-fn encoded_len(jobs: &[Arc<BatchJob>], unit: Unit) -> usize {
-    match unit {
-        Unit::BatchJob(job) => TAG + jobs[job].head.encoded_len() + size_of::<bool>(),
-        Unit::Items(job, group) => {
-            run_head(jobs[job].head.id.len()) + jobs[job].item_groups()[group].encoded_len
-        }
-        Unit::Outputs(job, group) => {
-            run_head(jobs[job].head.id.len()) + jobs[job].output_groups()[group].encoded_len
+impl RecordRef {
+    /// Bytes of the record.
+    fn encoded_len(self, jobs: &[Arc<BatchJob>]) -> usize {
+        match self {
+            RecordRef::BatchJob(job) => TAG_LEN + jobs[job].header().encoded_len() + size_of::<bool>(),
+            RecordRef::Items { job, group } => {
+                group_header_len(jobs[job].id().len()) + jobs[job].item_groups().encoded_len(group)
+            }
+            RecordRef::Outputs { job, group } => {
+                group_header_len(jobs[job].id().len()) + jobs[job].output_groups().encoded_len(group)
+            }
         }
     }
-}
 
-fn range(groups: &[Group], group: usize) -> std::ops::Range<usize> {
-    let start = group.checked_sub(1).map_or(0, |before| groups[before].end);
-    start..groups[group].end
+    fn to_record(self, jobs: &[Arc<BatchJob>]) -> Record {
+        match self {
+            RecordRef::BatchJob(job) => {
+                let job = &jobs[job];
+                Record::BatchJob { header: (**job.header()).clone(), is_ended: job.is_ended() }
+            }
+            RecordRef::Items { job, group } => {
+                let job = &jobs[job];
+                let items = &job.items()[job.item_groups().members(group)];
+                Record::Items { job: job.id().clone(), items: items.iter().map(ItemRecord::from).collect() }
+            }
+            RecordRef::Outputs { job, group } => {
+                let job = &jobs[job];
+                let outputs = job.outputs()[job.output_groups().members(group)].to_vec();
+                Record::Outputs { job: job.id().clone(), outputs }
+            }
+        }
+    }
 }
--- a/crates/batch/src/submission.rs
+++ b/crates/batch/src/submission.rs
@@ -1,15 +1,44 @@
-//! A batch job as a client hands it in.
+//! The body of a client's `POST` of a batch job.
+//!
+//! Whatever a client sends ends as a list of valid [`Item`]s or as a [`SubmissionError`] that names the offending field; the error's
+//! text is part of the answer to the client.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use nanoserde::DeJson;
+use nanoserde::{DeJson, DeJsonErr};
+use quick_error::quick_error;
 
-use crate::{DecodeError, Item, json};
+use crate::{Item, json};
 
 /// Items that one batch job may have.
-const MOST_ITEMS: usize = 200;
+const MAX_ITEMS: usize = 200;
+
+quick_error! {
+    /// Why a submission is rejected. The texts are read by clients; `index` counts requests from 0.
+    #[derive(Debug)]
+    pub enum SubmissionError {
+        /// Not UTF-8; that many bytes are valid.
+        NotUtf8(valid_up_to: usize) { display("malformed: not UTF-8 from byte {}", valid_up_to) }
+        /// Not one JSON value (RFC 8259) from this byte on.
+        NotJson(offset: usize) { display("malformed: not JSON from byte {}", offset) }
+        /// A field is missing or has the wrong type.
+        Fields(cause: DeJsonErr) { display("malformed: {}", cause) }
+        /// Too many items, or none.
+        ItemCount(count: usize) { display("malformed: requests: {}, not 1 to {}", count, MAX_ITEMS) }
+        /// An id is empty or has other characters than visible ASCII.
+        InvalidId(index: usize) { display("malformed: requests[{}].id: not a word", index) }
+        /// Two items have the same id.
+        DuplicateId(index: usize) { display("malformed: requests[{}].id: stands there before", index) }
+        /// A path that does not go into a request line of HTTP/1.1.
+        InvalidPath(index: usize) { display("malformed: requests[{}].path: not a path", index) }
+        /// A header that does not go into a head of HTTP/1.1.
+        InvalidHeader(index: usize) { display("malformed: requests[{}].headers: not a header", index) }
+        /// A body that is not base64 (RFC 4648, padded).
+        InvalidBody(index: usize) { display("malformed: requests[{}].body: not base64", index) }
+    }
+}
 
 #[derive(DeJson)]
 struct Submission {
@@ -26,47 +55,47 @@
     token_count: u64,
 }
 
-/// Reads `POST` of a batch job: `{"requests":[{"id","path","headers","body"(base64),"token_count"}]}`. Fields besides are skipped;
+/// Parses `{"requests":[{"id","path","headers","body"(base64),"token_count"}]}` with 1 to 200 requests. Other fields are skipped;
 /// headers come sorted by name.
 ///
 /// # Errors
-/// What is wrong, with its place: not JSON, none or more than 200 items, an id twice, a body that is not base64, an id, a path or a
-/// header that does not go into a head of HTTP/1.1.
-pub fn read_requests(body: &[u8]) -> Result<Vec<Item>, DecodeError> {
-    let text = str::from_utf8(body).map_err(|e| odd(format!("not UTF-8 from byte {}", e.valid_up_to())))?;
-    json::check(text).map_err(|at| odd(format!("not JSON from byte {at}")))?;
-    let found = Submission::deserialize_json(text).map_err(|e| odd(e.to_string()))?;
-    let count = found.requests.len();
-    if !(1..=MOST_ITEMS).contains(&count) {
-        return Err(odd(format!("requests: {count}, not 1 to {MOST_ITEMS}")));
+/// The first fault found, see [`SubmissionError`].
+pub fn parse_submission(body: &[u8]) -> Result<Vec<Item>, SubmissionError> {
+    let text = str::from_utf8(body).map_err(|error| SubmissionError::NotUtf8(error.valid_up_to()))?;
+    json::check(text).map_err(SubmissionError::NotJson)?;
+    let submission = Submission::deserialize_json(text).map_err(SubmissionError::Fields)?;
+    let count = submission.requests.len();
+    if !(1..=MAX_ITEMS).contains(&count) {
+        return Err(SubmissionError::ItemCount(count));
     }
     let mut seen = BTreeSet::new();
-    let mut items = Vec::with_capacity(count);
-    for (i, request) in found.requests.into_iter().enumerate() {
-        let wrong = |what: &str| odd(format!("requests[{i}].{what}"));
-        let Request { id, path, headers, body, token_count } = request;
-        if id.is_empty() || !id.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err(wrong("id: not a word"));
+    let requests = submission.requests.into_iter().enumerate();
+    requests.map(|(index, request)| request.into_item(index, &mut seen)).collect()
+}
+
+impl Request {
+    /// The item, with its id added to those `seen`.
+    fn into_item(self, index: usize, seen: &mut BTreeSet<String>) -> Result<Item, SubmissionError> {
+        let Request { id, path, headers, body, token_count } = self;
+        if id.is_empty() || !id.bytes().all(|byte| byte.is_ascii_graphic()) {
+            return Err(SubmissionError::InvalidId(index));
         }
         if !seen.insert(id.clone()) {
-            return Err(wrong("id: stands there before"));
+            return Err(SubmissionError::DuplicateId(index));
         }
-        if !path.starts_with('/') || !path.bytes().all(|b| b.is_ascii_graphic() || b >= 0x80) {
-            return Err(wrong("path: not a path"));
+        if !path.starts_with('/') || !path.bytes().all(|byte| byte.is_ascii_graphic() || byte >= 0x80) {
+            return Err(SubmissionError::InvalidPath(index));
         }
-        for (name, value) in &headers {
-            if name.is_empty() || !name.bytes().all(is_token) || value.bytes().any(is_control) {
-                return Err(wrong("headers: not a header"));
-            }
+        if !headers.iter().all(|(name, value)| is_header(name, value)) {
+            return Err(SubmissionError::InvalidHeader(index));
         }
-        let body = STANDARD.decode(body).map_err(|_| wrong("body: not base64"))?.into();
-        items.push(Item { id, path, headers: headers.into_iter().collect(), body, token_count });
+        let body = STANDARD.decode(body).map_err(|_| SubmissionError::InvalidBody(index))?.into();
+        Ok(Item { id, path, headers: headers.into_iter().collect(), body, token_count })
     }
-    Ok(items)
 }
 
-fn odd(what: String) -> DecodeError {
-    DecodeError::Malformed(what)
+fn is_header(name: &str, value: &str) -> bool {
+    !name.is_empty() && name.bytes().all(is_token) && !value.bytes().any(is_control)
 }
 
 /// RFC 9110, 5.6.2.
--- a/crates/batch/src/text.rs
+++ b/crates/batch/src/text.rs
@@ -15,17 +15,17 @@
     CompressorOxide, TDEFLFlush, TDEFLStatus, compress, create_comp_flags_from_zip_params,
 };
 use miniz_oxide::inflate::decompress_slice_iter_to_slice;
+use quick_error::quick_error;
 
-use crate::DecodeError;
 use crate::wire::{self, Source};
 
 /// The longest text that is compressed; a longer one is kept plain.
-pub const MOST_INFLATED: usize = 16 << 20;
+pub const MAX_INFLATED_BYTES: usize = 16 << 20;
 
 /// The shortest text that is compressed: for less the tables of deflate cost more than they save.
-const LEAST_DEFLATED: usize = 64;
+const MIN_DEFLATED_BYTES: usize = 64;
 /// Deflate makes no more of one byte (RFC 1951: 258 bytes from two bits), about.
-const MOST_EXPANSION: usize = 1032;
+const MAX_EXPANSION: usize = 1032;
 /// Random letters, the common case, have no repetitions to search for: higher levels take longer and gain
 /// nothing.
 const LEVEL: i32 = 1;
@@ -33,6 +33,23 @@
 const PLAIN: u8 = 0;
 const DEFLATED: u8 = 1;
 
+quick_error! {
+    /// Why bytes are no [`StoredText`].
+    #[derive(Debug, Clone, Copy, PartialEq, Eq)]
+    pub enum StoredTextError {
+        /// The first byte names no encoding, or there is none.
+        UnknownEncoding { display("stored text: unknown encoding") }
+        /// The header of compressed bytes is cut off.
+        Truncated { display("stored text: too short") }
+        /// The length in the header is over [`MAX_INFLATED_BYTES`], or more than the compressed bytes can inflate to.
+        Length { display("stored text: length") }
+        /// The checksum is not that of the length and the compressed bytes.
+        Checksum { display("stored text: checksum") }
+        /// The compressed bytes do not inflate to a text of the length in the header.
+        Deflate { display("stored text: compressed bytes") }
+    }
+}
+
 #[derive(DekuRead, DekuWrite)]
 #[deku(endian = "little")]
 struct DeflatedHead {
@@ -68,7 +85,7 @@
     }
 
     fn deflated(text: &[u8]) -> Option<Self> {
-        if !(LEAST_DEFLATED..=MOST_INFLATED).contains(&text.len()) {
+        if !(MIN_DEFLATED_BYTES..=MAX_INFLATED_BYTES).contains(&text.len()) {
             return None;
         }
         let mut compressor = CompressorOxide::new(create_comp_flags_from_zip_params(LEVEL, 0, 0));
@@ -90,11 +107,11 @@
 
     /// # Errors
     /// Where the bytes are no text in its stored encoding.
-    pub fn from_stored(stored: Bytes) -> Result<Self, DecodeError> {
+    pub fn from_stored(stored: Bytes) -> Result<Self, StoredTextError> {
         match stored.first() {
             Some(&PLAIN) => {}
             Some(&DEFLATED) => check_deflated(&stored)?,
-            _ => return Err(malformed("unknown encoding")),
+            _ => return Err(StoredTextError::UnknownEncoding),
         }
         Ok(StoredText(stored))
     }
@@ -116,7 +133,7 @@
     ///
     /// # Errors
     /// Where the compressed bytes are none, though their checksum is right.
-    pub fn text(&self) -> Result<Cow<'_, [u8]>, DecodeError> {
+    pub fn text(&self) -> Result<Cow<'_, [u8]>, StoredTextError> {
         if self.0.first() == Some(&PLAIN) {
             return Ok(Cow::Borrowed(&self.0[1..]));
         }
@@ -124,7 +141,7 @@
         let mut text = vec![0; head.length as usize];
         match decompress_slice_iter_to_slice(&mut text, std::iter::once(compressed), false, true) {
             Ok(length) if length == text.len() => Ok(Cow::Owned(text)),
-            _ => Err(malformed("compressed bytes")),
+            _ => Err(StoredTextError::Deflate),
         }
     }
 }
@@ -141,20 +158,20 @@
 }
 
 /// Head and compressed bytes, the lengths checked.
-fn parse_deflated(stored: &[u8]) -> Result<(DeflatedHead, &[u8]), DecodeError> {
+fn parse_deflated(stored: &[u8]) -> Result<(DeflatedHead, &[u8]), StoredTextError> {
     let ((compressed, _), head) =
-        DeflatedHead::from_bytes((stored, 0)).map_err(|_| malformed("too short"))?;
+        DeflatedHead::from_bytes((stored, 0)).map_err(|_| StoredTextError::Truncated)?;
     let length = head.length as usize;
-    if head.tag != DEFLATED || length > MOST_INFLATED || length > compressed.len() * MOST_EXPANSION {
-        return Err(malformed("length"));
+    if head.tag != DEFLATED || length > MAX_INFLATED_BYTES || length > compressed.len() * MAX_EXPANSION {
+        return Err(StoredTextError::Length);
     }
     Ok((head, compressed))
 }
 
 /// As [`parse_deflated`], the checksum checked too.
-fn check_deflated(stored: &[u8]) -> Result<(), DecodeError> {
+fn check_deflated(stored: &[u8]) -> Result<(), StoredTextError> {
     let (head, compressed) = parse_deflated(stored)?;
-    if checksum(head.length, compressed) == head.checksum { Ok(()) } else { Err(malformed("checksum")) }
+    if checksum(head.length, compressed) == head.checksum { Ok(()) } else { Err(StoredTextError::Checksum) }
 }
 
 fn checksum(length: u32, compressed: &[u8]) -> u32 {
@@ -163,7 +180,3 @@
     sum.write_slice(compressed);
     sum.checksum()
 }
-
-fn malformed(what: &str) -> DecodeError {
-    DecodeError::Malformed(format!("stored text: {what}"))
-}
--- a/crates/batch/src/wire.rs
+++ b/crates/batch/src/wire.rs
@@ -10,7 +10,7 @@
 use deku::prelude::*;
 
 /// Bytes of a count.
-pub const COUNT: usize = 4;
+pub const COUNT_LEN: usize = 4;
 
 /// What is decoded, for readers that slice it. Writers have none.
 #[derive(Clone, Copy, Default)]
--- a/crates/batch/tests/common/mod.rs
+++ b/crates/batch/tests/common/mod.rs
@@ -4,7 +4,9 @@
 use bytes::Bytes;
 use nanoserde::DeJson;
 use rainlug::{SECOND, Time};
-use rainlug_batch::{Command, DecodeError, Item, Register, RegisterRestore, State, StoredText};
+use rainlug_batch::{
+    Command, Item, ItemOutcome, JobTable, JobTableRestore, OutputPage, RestoreError, StoredText,
+};
 
 pub const ROUTE: &str = "bulk";
 pub const DUE: Time = 60 * SECOND;
@@ -39,36 +41,41 @@
     submit_within(job, 0, DUE, items.iter().map(|id| item(id, 10)).collect())
 }
 
-pub fn submit_within(job: &str, most: u64, due: Time, items: Vec<Item>) -> Command {
+pub fn submit_within(job: &str, max_waiting_tokens: u64, deadline: Time, items: Vec<Item>) -> Command {
     Command::Submit {
         job: job.into(),
         route: ROUTE.into(),
         host: "bulk.example".into(),
-        sent: SECOND,
-        due,
-        retain: RETAIN,
-        max_tries: 3,
-        most,
+        submitted_at: SECOND,
+        deadline,
+        retain_until: RETAIN,
+        max_attempts: 3,
+        max_waiting_tokens,
         items,
     }
 }
 
 pub fn list(job: &str, item: &str, text: &str) -> Command {
     let text = StoredText::new(text.as_bytes());
-    Command::List { job: job.into(), item: item.into(), state: State::Complete, text }
+    Command::FinishItem { job: job.into(), item: item.into(), outcome: ItemOutcome::Complete, text }
 }
 
 pub fn abandon(job: &str, item: &str) -> Command {
-    Command::List { job: job.into(), item: item.into(), state: State::Abandoned, text: StoredText::default() }
+    Command::FinishItem {
+        job: job.into(),
+        item: item.into(),
+        outcome: ItemOutcome::Abandoned,
+        text: StoredText::default(),
+    }
 }
 
 pub fn end(job: &str) -> Command {
-    Command::End { job: job.into(), at: 2 * SECOND }
+    Command::End { job: job.into(), timestamp: 2 * SECOND }
 }
 
 /// What a read gives, and that it says rightly whether there is an output.
-pub fn read(register: &Register, job: &str, since: u64) -> Option<Answer> {
-    let (json, has_output) = register.read(job, since)?;
+pub fn read(table: &JobTable, job: &str, since: u64) -> Option<Answer> {
+    let OutputPage { json, has_output } = table.read_outputs(job, since)?;
     assert!(!json.bytes().any(|byte| byte < b' '), "unescaped: {json:?}");
     let answer = Answer::deserialize_json(&json).unwrap_or_else(|e| panic!("{e}: {json}"));
     assert_eq!(has_output, !answer.outputs.is_empty());
@@ -77,13 +84,13 @@
 }
 
 /// All pieces of its snapshot.
-pub fn chunks(register: &Register) -> Vec<Bytes> {
-    let snapshot = register.snapshot();
-    (0..snapshot.chunks()).map(|number| snapshot.chunk(number)).collect()
+pub fn chunks(table: &JobTable) -> Vec<Bytes> {
+    let snapshot = table.snapshot();
+    (0..snapshot.chunk_count()).map(|number| snapshot.chunk(number)).collect()
 }
 
-pub fn restore(chunks: &[Bytes]) -> Result<Register, DecodeError> {
-    let mut restore = RegisterRestore::default();
-    chunks.iter().try_for_each(|chunk| restore.take(chunk))?;
+pub fn restore(chunks: &[Bytes]) -> Result<JobTable, RestoreError> {
+    let mut restore = JobTableRestore::default();
+    chunks.iter().try_for_each(|chunk| restore.add_chunk(chunk))?;
     restore.finish()
 }
--- a/crates/batch/tests/register.rs
+++ b/crates/batch/tests/job_table.rs
@@ -9,62 +9,67 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rainlug::SECOND;
-use rainlug_batch::{Applied, Command, Item, Register, State, StoredText, Totals, read_requests};
+use rainlug_batch::{
+    Applied, Command, Item, ItemOutcome, ItemTotals, JobTable, OutputPage, StoredText, parse_submission,
+};
 
-fn after(commands: &[Command]) -> Register {
-    let mut register = Register::default();
+fn after(commands: &[Command]) -> JobTable {
+    let mut table = JobTable::default();
     for command in commands {
-        register.apply(command);
+        table.apply(command);
     }
-    register
+    table
 }
 
 #[test]
 fn a_batch_job_is_accepted_once() {
-    let mut register = Register::default();
-    assert_eq!(register.apply(&submit("l", &["a", "b"])), Applied::Accepted);
-    assert_eq!(register.apply(&submit("l", &["a", "b"])), Applied::Known);
-    assert_eq!(register.apply(&submit("l", &["c"])), Applied::Known);
-    assert!(register.knows("l") && !register.knows("m"));
-    assert_eq!(read(&register, "l", 0).unwrap().grand_total, 2);
-    assert_eq!(register.read("m", 0), None);
-    register.apply(&end("l"));
-    assert_eq!(register.apply(&submit("l", &["a"])), Applied::Known);
+    let mut table = JobTable::default();
+    assert_eq!(table.apply(&submit("l", &["a", "b"])), Applied::Accepted);
+    assert_eq!(table.apply(&submit("l", &["a", "b"])), Applied::AlreadyAccepted);
+    assert_eq!(table.apply(&submit("l", &["c"])), Applied::AlreadyAccepted);
+    assert!(table.contains_job("l") && !table.contains_job("m"));
+    assert_eq!(read(&table, "l", 0).unwrap().grand_total, 2);
+    assert_eq!(table.read_outputs("m", 0), None);
+    table.apply(&end("l"));
+    assert_eq!(table.apply(&submit("l", &["a"])), Applied::AlreadyAccepted);
 }
 
 #[test]
 fn outputs_stand_in_the_order_of_their_listing() {
-    let mut register = after(&[submit("l", &["a", "b", "c"])]);
-    assert_eq!(register.apply(&list("l", "c", "text of c")), Applied::Listed { position: 0 });
-    assert_eq!(register.apply(&abandon("l", "a")), Applied::Listed { position: 1 });
-    assert_eq!(register.apply(&list("l", "a", "late")), Applied::Nothing);
-    assert_eq!(register.apply(&list("l", "x", "")), Applied::Nothing);
-    assert_eq!(register.apply(&list("m", "a", "")), Applied::Nothing);
-    let answer = register.read("l", 0).unwrap().0;
+    let mut table = after(&[submit("l", &["a", "b", "c"])]);
+    assert_eq!(table.apply(&list("l", "c", "text of c")), Applied::ItemFinished { position: 0 });
+    assert_eq!(table.apply(&abandon("l", "a")), Applied::ItemFinished { position: 1 });
+    assert_eq!(table.apply(&list("l", "a", "late")), Applied::NoChange);
+    assert_eq!(table.apply(&list("l", "x", "")), Applied::NoChange);
+    assert_eq!(table.apply(&list("m", "a", "")), Applied::NoChange);
+    let answer = table.read_outputs("l", 0).unwrap().json;
     let outputs =
         r#"{"id":"c","state":"complete","prompt":"text of c"},{"id":"a","state":"abandoned","prompt":""}"#;
     assert_eq!(answer, format!(r#"{{"grand_total":3,"next_token":2,"outputs":[{outputs}]}}"#));
-    let answer = read(&register, "l", 1).unwrap();
+    let answer = read(&table, "l", 1).unwrap();
     assert_eq!((answer.next_token, answer.outputs.len()), (2, 1));
 }
 
 #[test]
 fn a_read_past_the_outputs_gives_none() {
-    let register = after(&[submit("l", &["a", "b"]), list("l", "a", "")]);
+    let table = after(&[submit("l", &["a", "b"]), list("l", "a", "")]);
     for since in [1, 2, 7] {
-        let answer = read(&register, "l", since).unwrap();
+        let answer = read(&table, "l", since).unwrap();
         assert_eq!((answer.grand_total, answer.next_token, answer.outputs.len()), (2, since, 0));
     }
     assert_eq!(
-        register.read("l", u64::MAX),
-        Some((r#"{"grand_total":2,"next_token":18446744073709551615,"outputs":[]}"#.into(), false))
+        table.read_outputs("l", u64::MAX),
+        Some(OutputPage {
+            json: r#"{"grand_total":2,"next_token":18446744073709551615,"outputs":[]}"#.into(),
+            has_output: false
+        })
     );
 }
 
 #[test]
 fn a_read_gives_a_megabyte_at_most_but_one_output_at_least() {
     let (half, huge) = ("h".repeat(400_000), "\n".repeat(1_500_000));
-    let register = after(&[
+    let table = after(&[
         submit("l", &["a", "b", "c", "d", "e"]),
         list("l", "a", &half),
         list("l", "b", &half),
@@ -72,52 +77,52 @@
         list("l", "d", &huge),
         list("l", "e", ""),
     ]);
-    let counts: Vec<_> = (0..=5).map(|since| read(&register, "l", since).unwrap().outputs.len()).collect();
+    let counts: Vec<_> = (0..=5).map(|since| read(&table, "l", since).unwrap().outputs.len()).collect();
     assert_eq!(counts, [2, 2, 1, 1, 1, 0]);
-    assert!(register.read("l", 0).unwrap().0.len() <= 1_000_000);
-    assert_eq!(read(&register, "l", 3).unwrap().outputs[0].prompt, huge);
+    assert!(table.read_outputs("l", 0).unwrap().json.len() <= 1_000_000);
+    assert_eq!(read(&table, "l", 3).unwrap().outputs[0].prompt, huge);
 }
 
 #[test]
 fn the_megabyte_counts_what_is_escaped() {
     let feeds = "\n".repeat(300_000);
-    let register = after(&[submit("l", &["a", "b"]), list("l", "a", &feeds), list("l", "b", &feeds)]);
-    assert_eq!(read(&register, "l", 0).unwrap().outputs.len(), 1);
+    let table = after(&[submit("l", &["a", "b"]), list("l", "a", &feeds), list("l", "b", &feeds)]);
+    assert_eq!(read(&table, "l", 0).unwrap().outputs.len(), 1);
 }
 
 #[test]
 fn a_body_is_there_until_its_item_is_listed_or_its_batch_job_ended() {
-    let mut register = after(&[submit("l", &["a", "b"])]);
-    assert_eq!(register.body("l", "a"), Some(Bytes::from("body of a")));
-    assert_eq!(register.body("l", "x"), None);
-    assert_eq!(register.body("m", "a"), None);
-    register.apply(&list("l", "a", ""));
-    assert_eq!(register.body("l", "a"), None);
-    assert_eq!(register.body("l", "b"), Some(Bytes::from("body of b")));
-    register.apply(&end("l"));
-    assert_eq!(register.body("l", "b"), None);
+    let mut table = after(&[submit("l", &["a", "b"])]);
+    assert_eq!(table.item_body("l", "a"), Some(Bytes::from("body of a")));
+    assert_eq!(table.item_body("l", "x"), None);
+    assert_eq!(table.item_body("m", "a"), None);
+    table.apply(&list("l", "a", ""));
+    assert_eq!(table.item_body("l", "a"), None);
+    assert_eq!(table.item_body("l", "b"), Some(Bytes::from("body of b")));
+    table.apply(&end("l"));
+    assert_eq!(table.item_body("l", "b"), None);
 }
 
 #[test]
 fn what_was_listed_stays_after_the_end() {
-    let mut register = after(&[submit("l", &["a", "b"]), list("l", "a", "text")]);
-    let before = register.read("l", 0);
-    assert_eq!(register.apply(&end("l")), Applied::Ended);
-    assert_eq!(register.apply(&end("l")), Applied::Ended);
-    assert_eq!(register.apply(&end("m")), Applied::Nothing);
-    assert_eq!(register.apply(&list("l", "b", "late")), Applied::Nothing);
-    assert_eq!(register.read("l", 0), before);
+    let mut table = after(&[submit("l", &["a", "b"]), list("l", "a", "text")]);
+    let before = table.read_outputs("l", 0);
+    assert_eq!(table.apply(&end("l")), Applied::Ended);
+    assert_eq!(table.apply(&end("l")), Applied::Ended);
+    assert_eq!(table.apply(&end("m")), Applied::NoChange);
+    assert_eq!(table.apply(&list("l", "b", "late")), Applied::NoChange);
+    assert_eq!(table.read_outputs("l", 0), before);
 }
 
 #[test]
 fn tokens_wait_until_listed_or_ended() {
-    let mut register = Register::default();
-    let mut take = |command: &Command| (register.apply(command), register.waiting(ROUTE));
+    let mut table = JobTable::default();
+    let mut take = |command: &Command| (table.apply(command), table.waiting_tokens(ROUTE));
     let job = |job, tokens| submit_within(job, 100, common::DUE, vec![item("a", tokens), item("b", 10)]);
     assert_eq!(take(&job("l", 50)), (Applied::Accepted, 60));
     assert_eq!(take(&job("m", 31)), (Applied::OverQuota, 60));
     assert_eq!(take(&job("m", 30)), (Applied::Accepted, 100));
-    assert_eq!(take(&job("l", 50)), (Applied::Known, 100));
+    assert_eq!(take(&job("l", 50)), (Applied::AlreadyAccepted, 100));
     assert_eq!(take(&list("l", "a", "")).1, 50);
     assert_eq!(take(&end("m")).1, 10);
     assert_eq!(take(&abandon("l", "b")).1, 0);
@@ -126,50 +131,50 @@
     assert_eq!(take(&huge), (Applied::Accepted, u64::MAX));
     assert_eq!(take(&job("o", 1)), (Applied::OverQuota, u64::MAX));
     assert_eq!(take(&end("n")).1, 0);
-    assert_eq!(register.waiting("other"), 0);
+    assert_eq!(table.waiting_tokens("other"), 0);
 }
 
 #[test]
 fn a_batch_job_over_quota_is_not_known() {
-    let mut register = Register::default();
+    let mut table = JobTable::default();
     let job = submit_within("l", 9, common::DUE, vec![item("a", 10)]);
-    assert_eq!(register.apply(&job), Applied::OverQuota);
-    assert!(!register.knows("l"));
-    assert_eq!(chunks(&register), chunks(&Register::default()));
+    assert_eq!(table.apply(&job), Applied::OverQuota);
+    assert!(!table.contains_job("l"));
+    assert_eq!(chunks(&table), chunks(&JobTable::default()));
 }
 
 #[test]
 fn an_item_twice_is_not_taken() {
-    let mut register = Register::default();
-    assert_eq!(register.apply(&submit("l", &["a", "a"])), Applied::Nothing);
-    assert!(!register.knows("l"));
+    let mut table = JobTable::default();
+    assert_eq!(table.apply(&submit("l", &["a", "a"])), Applied::NoChange);
+    assert!(!table.contains_job("l"));
 }
 
 #[test]
 fn old_batch_jobs_are_forgotten_once_nothing_of_them_is_to_come() {
     let commands =
         [submit("open", &["a"]), submit("listed", &["a"]), submit("ended", &["a"]), list("listed", "a", "")];
-    let mut register = after(&commands);
-    register.apply(&end("ended"));
-    let known = |register: &Register| ["open", "listed", "ended"].map(|job| register.knows(job));
-    register.apply(&Command::Forget { before: SECOND });
-    assert_eq!(known(&register), [true, true, true]);
-    register.apply(&Command::Forget { before: SECOND + 1 });
-    assert_eq!(known(&register), [true, false, false]);
-    assert_eq!(register.apply(&submit("ended", &["a"])), Applied::Accepted);
+    let mut table = after(&commands);
+    table.apply(&end("ended"));
+    let known = |table: &JobTable| ["open", "listed", "ended"].map(|job| table.contains_job(job));
+    table.apply(&Command::Forget { before: SECOND });
+    assert_eq!(known(&table), [true, true, true]);
+    table.apply(&Command::Forget { before: SECOND + 1 });
+    assert_eq!(known(&table), [true, false, false]);
+    assert_eq!(table.apply(&submit("ended", &["a"])), Applied::Accepted);
 }
 
 #[test]
 fn its_size_goes_up_and_down_with_what_it_holds() {
-    let mut register = Register::default();
+    let mut table = JobTable::default();
     let mut large = item("a", 1);
     large.body = Bytes::from(vec![0; 100_000]);
-    register.apply(&submit_within("l", 0, common::DUE, vec![large]));
-    assert!(register.size() >= 100_000);
-    register.apply(&list("l", "a", "short"));
-    assert!(register.size() < 2_000);
-    register.apply(&Command::Forget { before: 2 * SECOND });
-    assert_eq!(register.size(), 0);
+    table.apply(&submit_within("l", 0, common::DUE, vec![large]));
+    assert!(table.memory_bytes() >= 100_000);
+    table.apply(&list("l", "a", "short"));
+    assert!(table.memory_bytes() < 2_000);
+    table.apply(&Command::Forget { before: 2 * SECOND });
+    assert_eq!(table.memory_bytes(), 0);
 }
 
 #[test]
@@ -186,47 +191,47 @@
 }
 
 /// Batch jobs of 100 items each, all ended.
-fn many_ended(count: usize) -> Register {
+fn many_ended(count: usize) -> JobTable {
     let ids: Vec<String> = (0..100).map(|id| id.to_string()).collect();
     let ids: Vec<&str> = ids.iter().map(|id| &**id).collect();
-    let mut register = Register::default();
+    let mut table = JobTable::default();
     for number in 0..count {
         let id = format!("{number:05}");
-        register.apply(&submit(&id, &ids));
-        register.apply(&end(&id));
+        table.apply(&submit(&id, &ids));
+        table.apply(&end(&id));
     }
-    register
+    table
 }
 
 #[test]
 fn one_command_forgets_a_bounded_number_and_the_next_ones_the_rest() {
-    let mut register = many_ended(200);
-    let known = |register: &Register| (0..200).filter(|id| register.knows(&format!("{id:05}"))).count();
-    let mut counts = vec![known(&register)];
-    while known(&register) > 0 {
-        register.apply(&Command::Forget { before: 2 * SECOND });
-        counts.push(known(&register));
+    let mut table = many_ended(200);
+    let known = |table: &JobTable| (0..200).filter(|id| table.contains_job(&format!("{id:05}"))).count();
+    let mut counts = vec![known(&table)];
+    while known(&table) > 0 {
+        table.apply(&Command::Forget { before: 2 * SECOND });
+        counts.push(known(&table));
     }
     // 82 batch jobs have the first 8192 items.
     assert_eq!(counts, [200, 118, 36, 0]);
-    assert_eq!((register.size(), register.totals()), (0, Totals::default()));
+    assert_eq!((table.memory_bytes(), table.totals()), (0, ItemTotals::default()));
 }
 
 #[test]
 fn those_sent_first_are_forgotten_first() {
-    let mut register = many_ended(100);
+    let mut table = many_ended(100);
     let mut older = submit("older", &["a"]);
-    if let Command::Submit { sent, .. } = &mut older {
-        *sent -= 1;
+    if let Command::Submit { submitted_at, .. } = &mut older {
+        *submitted_at -= 1;
     }
-    register.apply(&older);
-    register.apply(&end("older"));
-    let mut restored = restore(&chunks(&register)).unwrap();
-    for register in [&mut register, &mut restored] {
-        register.apply(&Command::Forget { before: 2 * SECOND });
-        assert!(!register.knows("older") && !register.knows("00000") && register.knows("00099"));
+    table.apply(&older);
+    table.apply(&end("older"));
+    let mut restored = restore(&chunks(&table)).unwrap();
+    for table in [&mut table, &mut restored] {
+        table.apply(&Command::Forget { before: 2 * SECOND });
+        assert!(!table.contains_job("older") && !table.contains_job("00000") && table.contains_job("00099"));
     }
-    assert_eq!(chunks(&register), chunks(&restored));
+    assert_eq!(chunks(&table), chunks(&restored));
 }
 
 fn request(field: &str, value: &str) -> String {
@@ -262,14 +267,14 @@
         body: Bytes::from_static(&[0xab, 0xcd, 0xef, 0x12, 0x34, 0x56, 0x78, 0x90]),
         token_count: 940,
     }];
-    assert_eq!(read_requests(requests(&[request("", "")]).as_bytes()), Ok(known.clone()));
+    assert_eq!(parse_submission(requests(&[request("", "")]).as_bytes()).unwrap(), known);
     let besides = requests(&[request("more", r#"[{"a":[]},"\ud83d\ude00",-1.5e3,null,true]"#)]);
     let besides = format!(r#" {{ "other" : {{"requests":[1]}} , {}"#, &besides[1..]);
-    assert_eq!(read_requests(besides.as_bytes()), Ok(known));
-    let bare = read_requests(requests(&[request("headers", "")]).as_bytes()).unwrap();
+    assert_eq!(parse_submission(besides.as_bytes()).unwrap(), known);
+    let bare = parse_submission(requests(&[request("headers", "")]).as_bytes()).unwrap();
     assert!(bare[0].headers.is_empty());
     let many: Vec<_> = (0..200).map(|i| request("id", &format!(r#""{i}""#))).collect();
-    let found = read_requests(requests(&many).as_bytes()).unwrap();
+    let found = parse_submission(requests(&many).as_bytes()).unwrap();
     assert!(found.iter().map(|item| &item.id).eq(&(0..200).map(|i| i.to_string()).collect::<Vec<_>>()));
 }
 
@@ -304,16 +309,16 @@
         ("[".repeat(1_000_000), "not JSON from byte 1000000"),
     ] {
         let shown = &body[..body.len().min(200)];
-        let told = read_requests(body.as_bytes()).expect_err(shown).to_string();
+        let told = parse_submission(body.as_bytes()).expect_err(shown).to_string();
         assert!(told.contains(what), "{shown}: {told}");
     }
-    assert!(read_requests(b"{\"requests\":\"\xff\"}").is_err());
+    assert!(parse_submission(b"{\"requests\":\"\xff\"}").is_err());
 }
 
 #[test]
 fn a_deep_field_besides_is_skipped() {
     let deep = format!("{}{}", "[".repeat(100_000), "]".repeat(100_000));
-    assert!(read_requests(requests(&[request("deep", &deep)]).as_bytes()).is_ok());
+    assert!(parse_submission(requests(&[request("deep", &deep)]).as_bytes()).is_ok());
 }
 
 fn settings(cases: u32) -> ProptestConfig {
@@ -332,30 +337,29 @@
     let job = prop::sample::select(&JOBS);
     let tokens = prop::collection::btree_map(prop::sample::select(&ITEMS), 0_u64..60, 1..5);
     let route = prop::sample::select(&["r", "s"]);
-    let most = prop::sample::select(&[0, 50, 120]);
-    let submit =
-        (job.clone(), route, 0_i64..100, most, tokens).prop_map(|(job, route, sent, most, tokens)| {
-            Command::Submit {
-                job: job.to_owned(),
-                route: route.to_owned(),
-                host: "h".into(),
-                sent,
-                due: sent + 10,
-                retain: sent + 20,
-                max_tries: 2,
-                most,
-                items: tokens.into_iter().map(|(id, tokens)| item(id, tokens)).collect(),
-            }
-        });
+    let max_waiting_tokens = prop::sample::select(&[0, 50, 120]);
+    let submit = (job.clone(), route, 0_i64..100, max_waiting_tokens, tokens).prop_map(
+        |(job, route, submitted_at, max_waiting_tokens, tokens)| Command::Submit {
+            job: job.to_owned(),
+            route: route.to_owned(),
+            host: "h".into(),
+            submitted_at,
+            deadline: submitted_at + 10,
+            retain_until: submitted_at + 20,
+            max_attempts: 2,
+            max_waiting_tokens,
+            items: tokens.into_iter().map(|(id, tokens)| item(id, tokens)).collect(),
+        },
+    );
     let list = (job.clone(), prop::sample::select(&ITEMS), any::<bool>(), any::<Vec<u8>>()).prop_map(
-        |(job, item, is_complete, text)| Command::List {
+        |(job, item, is_complete, text)| Command::FinishItem {
             job: job.to_owned(),
             item: item.to_owned(),
-            state: if is_complete { State::Complete } else { State::Abandoned },
+            outcome: if is_complete { ItemOutcome::Complete } else { ItemOutcome::Abandoned },
             text: StoredText::new(&text),
         },
     );
-    let end = job.prop_map(|job| Command::End { job: job.to_owned(), at: 0 });
+    let end = job.prop_map(|job| Command::End { job: job.to_owned(), timestamp: 0 });
     let forget = (0_i64..100).prop_map(|before| Command::Forget { before });
     prop::collection::vec(prop_oneof![4 => submit, 10 => list, 1 => end, 1 => forget], 0..60)
 }
@@ -364,9 +368,9 @@
 #[derive(Default)]
 struct Job {
     route: String,
-    sent: i64,
+    submitted_at: i64,
     tokens: BTreeMap<String, u64>,
-    listed: Vec<(String, State, String)>,
+    finished: Vec<(String, ItemOutcome, String)>,
     /// Bytes of outputs, as they are stored.
     stored: u64,
     is_ended: bool,
@@ -374,8 +378,8 @@
 
 impl Job {
     fn open(&self) -> impl Iterator<Item = (&String, &u64)> {
-        let listed: BTreeSet<_> = self.listed.iter().map(|(id, ..)| id).collect();
-        self.tokens.iter().filter(move |(id, _)| !self.is_ended && !listed.contains(id))
+        let finished: BTreeSet<_> = self.finished.iter().map(|(id, ..)| id).collect();
+        self.tokens.iter().filter(move |(id, _)| !self.is_ended && !finished.contains(id))
     }
 }
 
@@ -385,62 +389,64 @@
 
 fn step(jobs: &mut BTreeMap<String, Job>, command: &Command) -> Applied {
     match command {
-        Command::Submit { job: id, route, sent, most, items, .. } => {
+        Command::Submit { job: id, route, submitted_at, max_waiting_tokens, items, .. } => {
             if jobs.contains_key(id) {
-                return Applied::Known;
+                return Applied::AlreadyAccepted;
             }
             let tokens: BTreeMap<_, _> = items.iter().map(|i| (i.id.clone(), i.token_count)).collect();
-            if *most > 0 && waiting(jobs, route) + tokens.values().sum::<u64>() > *most {
+            if *max_waiting_tokens > 0
+                && waiting(jobs, route) + tokens.values().sum::<u64>() > *max_waiting_tokens
+            {
                 return Applied::OverQuota;
             }
-            let job = Job { route: route.clone(), sent: *sent, tokens, ..Job::default() };
+            let job = Job { route: route.clone(), submitted_at: *submitted_at, tokens, ..Job::default() };
             jobs.insert(id.clone(), job);
             Applied::Accepted
         }
-        Command::List { job: id, item, state, text } => {
-            let Some(job) = jobs.get_mut(id) else { return Applied::Nothing };
+        Command::FinishItem { job: id, item, outcome, text } => {
+            let Some(job) = jobs.get_mut(id) else { return Applied::NoChange };
             if !job.open().any(|(id, _)| id == item) {
-                return Applied::Nothing;
+                return Applied::NoChange;
             }
             job.stored += text.stored().len() as u64;
-            job.listed.push((
+            job.finished.push((
                 item.clone(),
-                *state,
+                *outcome,
                 String::from_utf8_lossy(&text.text().unwrap()).into_owned(),
             ));
-            Applied::Listed { position: job.listed.len() as u64 - 1 }
+            Applied::ItemFinished { position: job.finished.len() as u64 - 1 }
         }
         Command::End { job: id, .. } => match jobs.get_mut(id) {
             Some(job) => {
                 job.is_ended = true;
                 Applied::Ended
             }
-            None => Applied::Nothing,
+            None => Applied::NoChange,
         },
-        Command::Reserve { .. } | Command::Settle { .. } => Applied::Nothing,
+        Command::Reserve { .. } | Command::ReportUsage { .. } => Applied::NoChange,
         Command::Forget { before } => {
-            jobs.retain(|_, job| job.sent >= *before || job.open().next().is_some());
-            Applied::Nothing
+            jobs.retain(|_, job| job.submitted_at >= *before || job.open().next().is_some());
+            Applied::NoChange
         }
     }
 }
 
-fn word(state: State) -> &'static str {
+fn word(state: ItemOutcome) -> &'static str {
     match state {
-        State::Complete => "complete",
-        State::Abandoned => "abandoned",
+        ItemOutcome::Complete => "complete",
+        ItemOutcome::Abandoned => "abandoned",
     }
 }
 
 /// All that can be asked of two registers is the same.
-fn assert_same(a: &Register, b: &Register) {
+fn assert_same(a: &JobTable, b: &JobTable) {
     for job in JOBS {
-        assert_eq!(a.knows(job), b.knows(job));
-        (0..6).for_each(|since| assert_eq!(a.read(job, since), b.read(job, since)));
-        ITEMS.iter().for_each(|item| assert_eq!(a.body(job, item), b.body(job, item)));
+        assert_eq!(a.contains_job(job), b.contains_job(job));
+        (0..6).for_each(|since| assert_eq!(a.read_outputs(job, since), b.read_outputs(job, since)));
+        ITEMS.iter().for_each(|item| assert_eq!(a.item_body(job, item), b.item_body(job, item)));
     }
-    ["r", "s"].iter().for_each(|route| assert_eq!(a.waiting(route), b.waiting(route)));
-    assert_eq!(a.size(), b.size());
+    ["r", "s"].iter().for_each(|route| assert_eq!(a.waiting_tokens(route), b.waiting_tokens(route)));
+    assert_eq!(a.memory_bytes(), b.memory_bytes());
     assert_eq!(a.totals(), b.totals());
     assert_eq!(chunks(a), chunks(b));
 }
@@ -452,37 +458,37 @@
     /// nothing that fits is refused.
     #[test]
     fn it_does_what_the_plain_model_does(commands in commands()) {
-        let mut register = Register::default();
+        let mut table = JobTable::default();
         let mut jobs = BTreeMap::new();
         for command in &commands {
-            prop_assert_eq!(register.apply(command), step(&mut jobs, command));
-            let totals = Totals {
+            prop_assert_eq!(table.apply(command), step(&mut jobs, command));
+            let totals = ItemTotals {
                 open: jobs.values().map(|job| job.open().count() as u64).sum(),
-                listed: jobs.values().map(|job| job.listed.len() as u64).sum(),
+                finished: jobs.values().map(|job| job.finished.len() as u64).sum(),
                 output_bytes: jobs.values().map(|job| job.stored).sum(),
             };
-            prop_assert_eq!(register.totals(), totals);
+            prop_assert_eq!(table.totals(), totals);
             for route in ["r", "s"] {
-                prop_assert_eq!(register.waiting(route), waiting(&jobs, route));
+                prop_assert_eq!(table.waiting_tokens(route), waiting(&jobs, route));
             }
             for id in JOBS {
                 let Some(job) = jobs.get(id) else {
-                    prop_assert!(!register.knows(id) && register.read(id, 0).is_none());
+                    prop_assert!(!table.contains_job(id) && table.read_outputs(id, 0).is_none());
                     continue;
                 };
-                let answer = read(&register, id, 0).unwrap();
+                let answer = read(&table, id, 0).unwrap();
                 prop_assert_eq!(answer.grand_total, job.tokens.len() as u64);
-                let known: Vec<_> = job.listed.iter().map(|(id, state, text)| (&**id, word(*state), &**text)).collect();
+                let known: Vec<_> = job.finished.iter().map(|(id, state, text)| (&**id, word(*state), &**text)).collect();
                 let found: Vec<_> = answer.outputs.iter().map(|o| (&*o.id, &*o.state, &*o.prompt)).collect();
                 prop_assert_eq!(found, known);
                 for since in 0..6 {
-                    prop_assert_eq!(register.has_output(id, since), Some(register.read(id, since).unwrap().1));
+                    prop_assert_eq!(table.has_output(id, since), Some(table.read_outputs(id, since).unwrap().has_output));
                 }
                 let distinct: BTreeSet<_> = answer.outputs.iter().map(|o| &o.id).collect();
                 prop_assert_eq!(distinct.len(), answer.outputs.len());
                 for item in ITEMS {
                     let body = job.open().any(|(open, _)| open == item).then(|| Bytes::from(format!("body of {item}")));
-                    prop_assert_eq!(register.body(id, item), body);
+                    prop_assert_eq!(table.item_body(id, item), body);
                 }
             }
         }
@@ -505,12 +511,12 @@
 
     #[test]
     fn a_position_never_changes(commands in commands()) {
-        let mut register = Register::default();
+        let mut table = JobTable::default();
         let mut seen: BTreeMap<&str, Vec<common::Output>> = BTreeMap::new();
         for command in &commands {
-            register.apply(command);
+            table.apply(command);
             for job in JOBS {
-                let Some(answer) = read(&register, job, 0) else {
+                let Some(answer) = read(&table, job, 0) else {
                     seen.remove(job);
                     continue;
                 };
@@ -522,9 +528,9 @@
 
     #[test]
     fn odd_texts_come_through(text in any::<String>(), id in "\\PC{1,8}", controls in "[\\x00-\\x1f\"\\\\\\x7f\u{2028}é😀]{0,40}") {
-        let register = after(&[submit("l", &[&id, "other"]), list("l", &id, &text), list("l", "other", &controls)]);
+        let table = after(&[submit("l", &[&id, "other"]), list("l", &id, &text), list("l", "other", &controls)]);
         if id != "other" {
-            let answer = read(&register, "l", 0).unwrap();
+            let answer = read(&table, "l", 0).unwrap();
             prop_assert_eq!(&answer.outputs[0].id, &id);
             prop_assert_eq!(&answer.outputs[0].prompt, &text);
             prop_assert_eq!(&answer.outputs[1].prompt, &controls);
@@ -533,9 +539,9 @@
 
     #[test]
     fn garbage_is_refused_without_a_panic(bytes in any::<Vec<u8>>(), json in "[\\[\\]{}:,\"\\\\/*a0-9.eE+ -]{0,40}", tag in 0_u8..4) {
-        let _ = read_requests(&bytes);
-        let _ = read_requests(json.as_bytes());
-        let _ = read_requests(format!("{{\"requests\":[{{\"id\":{json}}}],\"more\":{json}}}").as_bytes());
+        let _ = parse_submission(&bytes);
+        let _ = parse_submission(json.as_bytes());
+        let _ = parse_submission(format!("{{\"requests\":[{{\"id\":{json}}}],\"more\":{json}}}").as_bytes());
         let tagged = Bytes::from([&[tag], &bytes[..]].concat());
         let _ = Command::decode(&bytes.clone().into());
         let _ = Command::decode(&tagged);
@@ -556,19 +562,19 @@
         let at = at.index(bytes.len());
         bytes[at] ^= flip;
         harmed[which] = bytes.into();
-        if let Ok(mut register) = restore(&harmed) {
+        if let Ok(mut table) = restore(&harmed) {
             for command in &more {
-                register.apply(command);
+                table.apply(command);
             }
-            JOBS.iter().for_each(|job| drop(register.read(job, 0)));
-            prop_assert!(restore(&chunks(&register)).is_ok());
+            JOBS.iter().for_each(|job| drop(table.read_outputs(job, 0)));
+            prop_assert!(restore(&chunks(&table)).is_ok());
         }
         let mut bytes = more.first().map_or(Bytes::new(), Command::encode).to_vec();
         if !bytes.is_empty() {
             let at = at % bytes.len();
             bytes[at] ^= flip;
             if let Ok(command) = Command::decode(&bytes.into()) {
-                Register::default().apply(&command);
+                JobTable::default().apply(&command);
             }
         }
     }
--- a/crates/batch/tests/quota_ledger.rs
+++ b/crates/batch/tests/quota_ledger.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rainlug::{SECOND, Time};
-use rainlug_batch::{Booked, Command, OpenJob, QuotaLedger, RESERVATION_GRACE, ReportNumber};
+use rainlug_batch::{Command, JobUsage, QuotaLedger, QuotaOutcome, RESERVATION_GRACE, UsageReportNumber};
 
 const ROUTE: &str = "bulk";
 const MOST: u64 = 1000;
@@ -14,13 +14,14 @@
 
 fn reserve(job: &str, shard: u16, tokens: u64, second: Time) -> Command {
     let (route, job, at) = (ROUTE.to_owned(), job.to_owned(), second * SECOND);
-    Command::Reserve { route, job, shard, tokens, most: MOST, at }
+    Command::Reserve { route, job, shard, tokens, max_waiting_tokens: MOST, timestamp: at }
 }
 
 fn settle(shard: u16, term: u64, sequence: u64, second: Time, open: &[(&str, u64)]) -> Command {
-    let open = open.iter().map(|(job, tokens)| OpenJob { job: (*job).to_owned(), tokens: *tokens }).collect();
-    let number = ReportNumber { term, sequence };
-    Command::Settle { route: ROUTE.to_owned(), shard, number, at: second * SECOND, open }
+    let open =
+        open.iter().map(|(job, tokens)| JobUsage { job: (*job).to_owned(), tokens: *tokens }).collect();
+    let number = UsageReportNumber { term, sequence };
+    Command::ReportUsage { route: ROUTE.to_owned(), shard, number, timestamp: second * SECOND, usage: open }
 }
 
 fn after(commands: &[Command]) -> QuotaLedger {
@@ -32,24 +33,24 @@
 #[test]
 fn the_quota_is_kept_exactly_over_all_parts() {
     let mut quota_ledger = after(&[reserve("a", 1, 400, 1), reserve("b", 2, 500, 1)]);
-    assert_eq!(quota_ledger.apply(&reserve("c", 3, 101, 1)), Some(Booked::Refused));
-    assert_eq!(quota_ledger.apply(&reserve("c", 3, 100, 1)), Some(Booked::Granted));
-    assert_eq!(quota_ledger.tokens(ROUTE), MOST);
-    assert!(!quota_ledger.has_room(ROUTE, "d", 4, 1, MOST));
-    assert!(quota_ledger.has_room(ROUTE, "d", 4, 1, 0), "no limit");
-    assert!(quota_ledger.has_room("another", "d", 4, MOST, MOST));
-    assert!(!quota_ledger.has_room("another", "d", 4, MOST + 1, MOST));
+    assert_eq!(quota_ledger.apply(&reserve("c", 3, 101, 1)), Some(QuotaOutcome::Refused));
+    assert_eq!(quota_ledger.apply(&reserve("c", 3, 100, 1)), Some(QuotaOutcome::Granted));
+    assert_eq!(quota_ledger.route_tokens(ROUTE), MOST);
+    assert!(!quota_ledger.can_reserve(ROUTE, "d", 4, 1, MOST));
+    assert!(quota_ledger.can_reserve(ROUTE, "d", 4, 1, 0), "no limit");
+    assert!(quota_ledger.can_reserve("another", "d", 4, MOST, MOST));
+    assert!(!quota_ledger.can_reserve("another", "d", 4, MOST + 1, MOST));
 }
 
 #[test]
 fn the_same_batch_job_is_granted_again_and_counted_once() {
     let mut quota_ledger = after(&[reserve("a", 1, 900, 1)]);
-    assert_eq!(quota_ledger.apply(&reserve("a", 1, 900, 2)), Some(Booked::Granted));
-    assert_eq!(quota_ledger.apply(&reserve("a", 1, 300, 2)), Some(Booked::Granted));
-    assert_eq!(quota_ledger.tokens(ROUTE), 900, "as first reserved");
-    assert_eq!(quota_ledger.apply(&reserve("a", 1, 1001, 2)), Some(Booked::Refused), "it has grown");
-    assert_eq!(quota_ledger.apply(&reserve("a", 1, 1000, 2)), Some(Booked::Granted));
-    assert_eq!(quota_ledger.tokens(ROUTE), MOST);
+    assert_eq!(quota_ledger.apply(&reserve("a", 1, 900, 2)), Some(QuotaOutcome::Granted));
+    assert_eq!(quota_ledger.apply(&reserve("a", 1, 300, 2)), Some(QuotaOutcome::Granted));
+    assert_eq!(quota_ledger.route_tokens(ROUTE), 900, "as first reserved");
+    assert_eq!(quota_ledger.apply(&reserve("a", 1, 1001, 2)), Some(QuotaOutcome::Refused), "it has grown");
+    assert_eq!(quota_ledger.apply(&reserve("a", 1, 1000, 2)), Some(QuotaOutcome::Granted));
+    assert_eq!(quota_ledger.route_tokens(ROUTE), MOST);
 }
 
 #[test]
@@ -57,19 +58,19 @@
     let mut quota_ledger =
         after(&[reserve("a", 1, 400, 1), reserve("b", 1, 100, 1), reserve("c", 2, 100, 1)]);
     quota_ledger.apply(&settle(1, 1, 1, 2, &[("a", 300), ("b", 100)]));
-    assert_eq!(quota_ledger.tokens(ROUTE), 500);
+    assert_eq!(quota_ledger.route_tokens(ROUTE), 500);
     quota_ledger.apply(&settle(1, 1, 2, 3, &[("b", 50)]));
-    assert_eq!(quota_ledger.tokens(ROUTE), 150, "part 2 has not reported");
+    assert_eq!(quota_ledger.route_tokens(ROUTE), 150, "part 2 has not reported");
     quota_ledger.apply(&settle(1, 1, 3, 4, &[]));
-    assert_eq!(quota_ledger.tokens(ROUTE), 100);
+    assert_eq!(quota_ledger.route_tokens(ROUTE), 100);
 }
 
 #[test]
 fn a_reservation_that_no_report_has_named_is_kept_for_its_grace() {
     let mut quota_ledger = after(&[reserve("a", 1, 400, 1), settle(1, 1, 1, GRACE_SECONDS, &[])]);
-    assert_eq!(quota_ledger.tokens(ROUTE), 400);
+    assert_eq!(quota_ledger.route_tokens(ROUTE), 400);
     quota_ledger.apply(&settle(1, 1, 2, 1 + GRACE_SECONDS, &[]));
-    assert_eq!(quota_ledger.tokens(ROUTE), 0);
+    assert_eq!(quota_ledger.route_tokens(ROUTE), 0);
 }
 
 #[test]
@@ -80,7 +81,7 @@
         reserve("c", 2, 10, 1),
         settle(1, 1, 1, 1, &[("a", 0)]),
     ]);
-    assert_eq!(quota_ledger.tokens(ROUTE), 110, "of b no report has told");
+    assert_eq!(quota_ledger.route_tokens(ROUTE), 110, "of b no report has told");
 }
 
 #[test]
@@ -92,18 +93,18 @@
         reserve("a", 1, 400, 3),
         settle(1, 2, 1, 3, &[]),
     ]);
-    assert_eq!(quota_ledger.tokens(ROUTE), 400);
+    assert_eq!(quota_ledger.route_tokens(ROUTE), 400);
     quota_ledger.apply(&settle(1, 2, 2, 3 + GRACE_SECONDS, &[]));
-    assert_eq!(quota_ledger.tokens(ROUTE), 0);
+    assert_eq!(quota_ledger.route_tokens(ROUTE), 0);
 }
 
 #[test]
 fn a_report_of_a_leader_before_changes_nothing() {
     let mut quota_ledger = after(&[settle(1, 2, 1, 1, &[("a", 400)])]);
     for late in [settle(1, 1, 9, 2, &[]), settle(1, 2, 1, 2, &[]), settle(1, 2, 0, 2, &[("b", 1)])] {
-        assert_eq!(quota_ledger.apply(&late), Some(Booked::Stale));
+        assert_eq!(quota_ledger.apply(&late), Some(QuotaOutcome::Stale));
     }
-    assert_eq!(quota_ledger.tokens(ROUTE), 400);
+    assert_eq!(quota_ledger.route_tokens(ROUTE), 400);
 }
 
 #[test]
@@ -111,16 +112,16 @@
     let mut quota_ledger = after(&[reserve("early", 1, 1, 100), reserve("a", 1, 400, 50)]);
     // By the clock of the later leader, which is behind, 31 s have passed; since the greatest time that was named, 29 have not.
     quota_ledger.apply(&settle(1, 1, 1, 81, &[]));
-    assert_eq!(quota_ledger.tokens(ROUTE), 401);
+    assert_eq!(quota_ledger.route_tokens(ROUTE), 401);
     quota_ledger.apply(&settle(1, 1, 2, 100 + GRACE_SECONDS, &[]));
-    assert_eq!(quota_ledger.tokens(ROUTE), 0);
+    assert_eq!(quota_ledger.route_tokens(ROUTE), 0);
 }
 
 #[test]
 fn a_report_that_changes_nothing_is_known_as_such() {
     let quota_ledger = after(&[reserve("a", 1, 400, 1), settle(1, 1, 1, 2, &[("a", 400)])]);
-    let open = |tokens| [OpenJob { job: "a".to_owned(), tokens }];
-    let number = |term, sequence| ReportNumber { term, sequence };
+    let open = |tokens| [JobUsage { job: "a".to_owned(), tokens }];
+    let number = |term, sequence| UsageReportNumber { term, sequence };
     let at = 3 * SECOND;
     assert!(!quota_ledger.would_change(ROUTE, 1, number(1, 2), &open(400), at));
     assert!(quota_ledger.would_change(ROUTE, 1, number(1, 2), &open(300), at));
@@ -146,7 +147,7 @@
 struct Model {
     clock: Time,
     entries: BTreeMap<(String, u16, String), (u64, Time, bool)>,
-    reports: BTreeMap<(String, u16), ReportNumber>,
+    reports: BTreeMap<(String, u16), UsageReportNumber>,
 }
 
 impl Model {
@@ -154,28 +155,34 @@
         self.entries.iter().filter(|((route, ..), _)| route == of).map(|(_, entry)| entry.0).sum()
     }
 
-    fn apply(&mut self, command: &Command) -> Option<Booked> {
+    fn apply(&mut self, command: &Command) -> Option<QuotaOutcome> {
         match command {
-            Command::Reserve { route, job, shard, tokens, most, at } => {
-                self.clock = self.clock.max(*at);
+            Command::Reserve { route, job, shard, tokens, max_waiting_tokens, timestamp } => {
+                self.clock = self.clock.max(*timestamp);
                 let key = (route.clone(), *shard, job.clone());
                 let before = self.entries.get(&key).map_or(0, |entry| entry.0);
                 let tokens = before.max(*tokens);
-                if tokens > before && *most > 0 && self.tokens(route) - before + tokens > *most {
-                    return Some(Booked::Refused);
+                if tokens > before
+                    && *max_waiting_tokens > 0
+                    && self.tokens(route) - before + tokens > *max_waiting_tokens
+                {
+                    return Some(QuotaOutcome::Refused);
                 }
-                if before == 0 && !self.entries.contains_key(&key) && *most > 0 && self.tokens(route) > *most
+                if before == 0
+                    && !self.entries.contains_key(&key)
+                    && *max_waiting_tokens > 0
+                    && self.tokens(route) > *max_waiting_tokens
                 {
-                    return Some(Booked::Refused);
+                    return Some(QuotaOutcome::Refused);
                 }
                 self.entries.insert(key, (tokens, self.clock, false));
-                Some(Booked::Granted)
+                Some(QuotaOutcome::Granted)
             }
-            Command::Settle { route, shard, number, at, open } => {
-                self.clock = self.clock.max(*at);
+            Command::ReportUsage { route, shard, number, timestamp, usage } => {
+                self.clock = self.clock.max(*timestamp);
                 let last = self.reports.entry((route.clone(), *shard)).or_default();
                 if *last >= *number {
-                    return Some(Booked::Stale);
+                    return Some(QuotaOutcome::Stale);
                 }
                 *last = *number;
                 let clock = self.clock;
@@ -183,7 +190,7 @@
                 self.entries.retain(|(r, p, _), (_, at, named)| {
                     r != route || p != shard || !*named && clock - *at < RESERVATION_GRACE
                 });
-                for one in open {
+                for one in usage {
                     if one.tokens == 0 {
                         self.entries.remove(&(route.clone(), *shard, one.job.clone()));
                         continue;
@@ -192,7 +199,7 @@
                     let at = before.get(&key).map_or(clock, |entry| entry.1);
                     self.entries.insert(key, (one.tokens, at, true));
                 }
-                Some(Booked::Settled)
+                Some(QuotaOutcome::Reported)
             }
             _ => None,
         }
@@ -203,15 +210,28 @@
     let route = || prop_oneof![Just("x".to_owned()), Just("y".to_owned())];
     let job = || (0_u8..6).prop_map(|nth| format!("lot-{nth}"));
     let at = || (0_i64..120).prop_map(|second| second * SECOND);
-    let most = prop_oneof![Just(0_u64), Just(300)];
-    let reserve = (route(), job(), 1_u16..4, 0_u64..200, most, at()).prop_map(
-        |(route, job, shard, tokens, most, at)| Command::Reserve { route, job, shard, tokens, most, at },
+    let max_waiting_tokens = prop_oneof![Just(0_u64), Just(300)];
+    let reserve = (route(), job(), 1_u16..4, 0_u64..200, max_waiting_tokens, at()).prop_map(
+        |(route, job, shard, tokens, max_waiting_tokens, at)| Command::Reserve {
+            route,
+            job,
+            shard,
+            tokens,
+            max_waiting_tokens,
+            timestamp: at,
+        },
     );
     let open = prop::collection::btree_map(job(), prop_oneof![1 => Just(0_u64), 3 => 1_u64..200], 0..4);
     let settle = (route(), 1_u16..4, (1_u64..4, 0_u64..9), at(), open).prop_map(
         |(route, shard, (term, sequence), at, open)| {
-            let open = open.into_iter().map(|(job, tokens)| OpenJob { job, tokens }).collect();
-            Command::Settle { route, shard, number: ReportNumber { term, sequence }, at, open }
+            let open = open.into_iter().map(|(job, tokens)| JobUsage { job, tokens }).collect();
+            Command::ReportUsage {
+                route,
+                shard,
+                number: UsageReportNumber { term, sequence },
+                timestamp: at,
+                usage: open,
+            }
         },
     );
     prop::collection::vec(prop_oneof![2 => reserve, 1 => settle], 0..60)
@@ -226,16 +246,16 @@
         for command in commands {
             let command = Command::decode(&command.encode()).expect("its own bytes");
             quota_ledger = QuotaLedger::restore(&quota_ledger.snapshot()).expect("its own snapshot");
-            if let Command::Reserve { route, job, shard, tokens, most, .. } = &command {
-                let fits = quota_ledger.has_room(route, job, *shard, *tokens, *most);
-                prop_assert_eq!(quota_ledger.apply(&command) == Some(Booked::Granted), fits);
-                prop_assert_eq!(model.apply(&command) == Some(Booked::Granted), fits, "{:?}", command);
-                prop_assert!(!fits || *most == 0 || *tokens == 0 || model.tokens(route) == quota_ledger.tokens(route));
+            if let Command::Reserve { route, job, shard, tokens, max_waiting_tokens, .. } = &command {
+                let fits = quota_ledger.can_reserve(route, job, *shard, *tokens, *max_waiting_tokens);
+                prop_assert_eq!(quota_ledger.apply(&command) == Some(QuotaOutcome::Granted), fits);
+                prop_assert_eq!(model.apply(&command) == Some(QuotaOutcome::Granted), fits, "{:?}", command);
+                prop_assert!(!fits || *max_waiting_tokens == 0 || *tokens == 0 || model.tokens(route) == quota_ledger.route_tokens(route));
             } else {
                 prop_assert_eq!(quota_ledger.apply(&command), model.apply(&command));
             }
             for route in ["x", "y"] {
-                prop_assert_eq!(quota_ledger.tokens(route), model.tokens(route), "{:?}", command);
+                prop_assert_eq!(quota_ledger.route_tokens(route), model.tokens(route), "{:?}", command);
             }
         }
     }
@@ -248,8 +268,8 @@
         for (job, shard, tokens) in commands {
             let granted = quota_ledger.apply(&reserve(&format!("{shard}-{job}"), shard, tokens, 1));
             let fits_alone = tokens <= MOST;
-            prop_assert!(fits_alone || granted == Some(Booked::Refused));
-            prop_assert!(quota_ledger.tokens(ROUTE) <= MOST);
+            prop_assert!(fits_alone || granted == Some(QuotaOutcome::Refused));
+            prop_assert!(quota_ledger.route_tokens(ROUTE) <= MOST);
         }
     }
 }
--- a/crates/batch/tests/snapshot.rs
+++ b/crates/batch/tests/snapshot.rs
@@ -9,20 +9,22 @@
 use common::{DUE, abandon, chunks, end, item, list, read, restore, submit, submit_within};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rainlug_batch::{Applied, CHUNK_BYTES, Command, Item, Register, RegisterRestore, State, StoredText};
+use rainlug_batch::{
+    Applied, CHUNK_BYTES, Command, Item, ItemOutcome, JobTable, JobTableRestore, StoredText,
+};
 
-fn after(commands: &[Command]) -> Register {
-    let mut register = Register::default();
+fn after(commands: &[Command]) -> JobTable {
+    let mut table = JobTable::default();
     for command in commands {
-        register.apply(command);
+        table.apply(command);
     }
-    register
+    table
 }
 
 /// An output of so many bytes, stored plain.
 fn list_plain(job: &str, item: &str, length: usize) -> Command {
     let text = StoredText::plain(&vec![b'x'; length]);
-    Command::List { job: job.into(), item: item.into(), state: State::Complete, text }
+    Command::FinishItem { job: job.into(), item: item.into(), outcome: ItemOutcome::Complete, text }
 }
 
 fn item_with_body(id: &str, length: usize) -> Item {
@@ -30,17 +32,17 @@
 }
 
 /// Three batch jobs with bodies and outputs for several pieces.
-fn several_chunks() -> Register {
-    let mut register = Register::default();
+fn several_chunks() -> JobTable {
+    let mut table = JobTable::default();
     for job in ["k", "l", "m"] {
         let items = (0..20).map(|id| item_with_body(&format!("{job}{id}"), 10_000)).collect();
-        register.apply(&submit_within(job, 0, DUE, items));
+        table.apply(&submit_within(job, 0, DUE, items));
         for id in 0..10 {
-            register.apply(&list_plain(job, &format!("{job}{id}"), 20_000));
+            table.apply(&list_plain(job, &format!("{job}{id}"), 20_000));
         }
     }
-    register.apply(&end("m"));
-    register
+    table.apply(&end("m"));
+    table
 }
 
 /// Bytes that tell when nothing holds them any more.
@@ -69,34 +71,34 @@
 
 #[test]
 fn an_empty_register_is_a_header() {
-    let register = Register::default();
-    assert_eq!(register.snapshot().chunks(), 1);
-    assert_eq!(register.snapshot().chunk(1), Bytes::new());
-    assert_eq!(chunks(&restore(&chunks(&register)).unwrap()), chunks(&register));
+    let table = JobTable::default();
+    assert_eq!(table.snapshot().chunk_count(), 1);
+    assert_eq!(table.snapshot().chunk(1), Bytes::new());
+    assert_eq!(chunks(&restore(&chunks(&table)).unwrap()), chunks(&table));
 }
 
 #[test]
 fn small_batch_jobs_share_a_piece() {
     let jobs: Vec<Command> = (0..50).map(|job| submit(&format!("{job}"), &["a", "b"])).collect();
-    assert_eq!(after(&jobs).snapshot().chunks(), 2);
+    assert_eq!(after(&jobs).snapshot().chunk_count(), 2);
 }
 
 #[test]
 fn only_what_is_alone_in_a_piece_is_over_the_bound() {
-    let mut register = several_chunks();
+    let mut table = several_chunks();
     let items = vec![item_with_body("a", 100_000), item("b", 1), item_with_body("c", 70_000), item("d", 1)];
-    register.apply(&submit_within("long", 0, DUE, items));
-    let bodies = chunks(&register).iter().filter(|chunk| chunk.len() > CHUNK_BYTES).count();
+    table.apply(&submit_within("long", 0, DUE, items));
+    let bodies = chunks(&table).iter().filter(|chunk| chunk.len() > CHUNK_BYTES).count();
     assert_eq!(bodies, 2);
-    register.apply(&list_plain("long", "a", 100));
-    register.apply(&list_plain("long", "c", 300_000));
-    register.apply(&list_plain("long", "d", 100));
-    let lengths: Vec<usize> = chunks(&register).iter().map(Bytes::len).collect();
+    table.apply(&list_plain("long", "a", 100));
+    table.apply(&list_plain("long", "c", 300_000));
+    table.apply(&list_plain("long", "d", 100));
+    let lengths: Vec<usize> = chunks(&table).iter().map(Bytes::len).collect();
     let over: Vec<usize> = lengths.iter().copied().filter(|length| *length > CHUNK_BYTES).collect();
     assert_eq!(over.len(), 1, "{lengths:?}");
     // The output, and the heads round it.
     assert!((300_000..300_100).contains(&over[0]), "{over:?}");
-    assert_eq!(chunks(&restore(&chunks(&register)).unwrap()), chunks(&register));
+    assert_eq!(chunks(&restore(&chunks(&table)).unwrap()), chunks(&table));
 }
 
 #[test]
@@ -105,8 +107,8 @@
     let half = (CHUNK_BYTES - 18) / 2 - 10;
     let outputs_with = |second: usize| {
         let texts = [list_plain("l", "a", half), list_plain("l", "b", second)];
-        let register = after(&[&[submit("l", &["a", "b"])], &texts[..]].concat());
-        chunks(&register).iter().map(Bytes::len).collect::<Vec<_>>()
+        let table = after(&[&[submit("l", &["a", "b"])], &texts[..]].concat());
+        chunks(&table).iter().map(Bytes::len).collect::<Vec<_>>()
     };
     assert_eq!(outputs_with(half)[2..], [CHUNK_BYTES]);
     // The first output has room behind the batch job's head then.
@@ -114,8 +116,8 @@
     // Records of two batch jobs, to the byte.
     let records_with = |second: usize| {
         let commands = [submit("l", &["a"]), submit("m", &["a"]), list_plain("l", "a", half)];
-        let register = after(&[&commands[..], &[list_plain("m", "a", second)]].concat());
-        chunks(&register).iter().map(Bytes::len).collect::<Vec<_>>()
+        let table = after(&[&commands[..], &[list_plain("m", "a", second)]].concat());
+        chunks(&table).iter().map(Bytes::len).collect::<Vec<_>>()
     };
     let room = CHUNK_BYTES - records_with(0)[1];
     assert_eq!(records_with(room)[1..], [CHUNK_BYTES]);
@@ -124,109 +126,110 @@
 
 #[test]
 fn pieces_are_about_as_long_as_they_may_be() {
-    let register = several_chunks();
-    let lengths: Vec<usize> = chunks(&register).iter().map(Bytes::len).collect();
+    let table = several_chunks();
+    let lengths: Vec<usize> = chunks(&table).iter().map(Bytes::len).collect();
     let total: usize = lengths.iter().sum();
-    assert_eq!(register.snapshot().size(), total as u64);
+    assert_eq!(table.snapshot().encoded_len(), total as u64);
     assert!(total > 600_000 && lengths.len() <= 2 + 2 * total / CHUNK_BYTES, "{lengths:?}");
 }
 
 #[test]
 fn a_snapshot_never_changes() {
-    let mut register = several_chunks();
-    let (snapshot, old) = (register.snapshot(), chunks(&register));
-    register.apply(&list_plain("k", "k15", 500));
-    register.apply(&end("l"));
-    register.apply(&submit("n", &["a"]));
-    register.apply(&Command::Forget { before: DUE });
-    let encoded: Vec<Bytes> = (0..snapshot.chunks()).map(|number| snapshot.clone().chunk(number)).collect();
+    let mut table = several_chunks();
+    let (snapshot, old) = (table.snapshot(), chunks(&table));
+    table.apply(&list_plain("k", "k15", 500));
+    table.apply(&end("l"));
+    table.apply(&submit("n", &["a"]));
+    table.apply(&Command::Forget { before: DUE });
+    let encoded: Vec<Bytes> =
+        (0..snapshot.chunk_count()).map(|number| snapshot.clone().chunk(number)).collect();
     assert_eq!(encoded, old);
-    assert_ne!(chunks(&register), old);
+    assert_ne!(chunks(&table), old);
 }
 
 #[test]
 fn an_output_touches_no_other() {
-    let mut register = several_chunks();
-    let before = register.snapshot();
-    let text = |register: &Register, position| register.output("k", position).unwrap().stored().as_ptr();
-    let texts: Vec<_> = (0..10).map(|position| text(&register, position)).collect();
-    let body = register.body("k", "k16").unwrap().as_ptr();
-    assert_eq!(register.snapshot().shared_jobs(&before), 3);
-    assert_eq!(register.apply(&list_plain("k", "k15", 500)), Applied::Listed { position: 10 });
-    assert_eq!(register.snapshot().shared_jobs(&before), 2);
+    let mut table = several_chunks();
+    let before = table.snapshot();
+    let text = |table: &JobTable, position| table.output_text("k", position).unwrap().stored().as_ptr();
+    let texts: Vec<_> = (0..10).map(|position| text(&table, position)).collect();
+    let body = table.item_body("k", "k16").unwrap().as_ptr();
+    assert_eq!(table.snapshot().shared_job_count(&before), 3);
+    assert_eq!(table.apply(&list_plain("k", "k15", 500)), Applied::ItemFinished { position: 10 });
+    assert_eq!(table.snapshot().shared_job_count(&before), 2);
     // Nor are the bytes of its own batch job copied.
-    assert!((0..10).map(|position| text(&register, position)).eq(texts));
-    assert_eq!(register.body("k", "k16").unwrap().as_ptr(), body);
+    assert!((0..10).map(|position| text(&table, position)).eq(texts));
+    assert_eq!(table.item_body("k", "k16").unwrap().as_ptr(), body);
 }
 
 #[test]
 fn what_changes_nothing_copies_nothing() {
-    let mut register = several_chunks();
-    let before = register.snapshot();
+    let mut table = several_chunks();
+    let before = table.snapshot();
     for command in [list("k", "k0", "again"), list("k", "x", ""), end("m"), submit("k", &["a"]), end("x")] {
-        register.apply(&command);
+        table.apply(&command);
     }
-    assert_eq!(register.snapshot().shared_jobs(&before), 3);
+    assert_eq!(table.snapshot().shared_job_count(&before), 3);
 }
 
 #[test]
 fn a_command_is_freed_with_its_last_item() {
     let (encoded, freed) = counted(submit("l", &["a", "b", "c"]).encode());
-    let mut register = Register::default();
-    register.apply(&Command::decode(&encoded).unwrap());
+    let mut table = JobTable::default();
+    table.apply(&Command::decode(&encoded).unwrap());
     drop(encoded);
     let is_freed = || freed.load(Ordering::SeqCst) > 0;
-    register.apply(&list("l", "b", "text"));
-    register.apply(&abandon("l", "a"));
+    table.apply(&list("l", "b", "text"));
+    table.apply(&abandon("l", "a"));
     assert!(!is_freed());
-    assert_eq!(register.body("l", "c"), Some("body of c".into()));
-    register.apply(&list("l", "c", "text"));
+    assert_eq!(table.item_body("l", "c"), Some("body of c".into()));
+    table.apply(&list("l", "c", "text"));
     assert!(is_freed());
-    assert_eq!(read(&register, "l", 0).unwrap().outputs.len(), 3);
+    assert_eq!(read(&table, "l", 0).unwrap().outputs.len(), 3);
 }
 
 #[test]
 fn a_command_is_freed_with_the_end_of_its_batch_job() {
     let (encoded, freed) = counted(submit("l", &["a", "b"]).encode());
-    let mut register = Register::default();
-    register.apply(&Command::decode(&encoded).unwrap());
+    let mut table = JobTable::default();
+    table.apply(&Command::decode(&encoded).unwrap());
     drop(encoded);
-    register.apply(&end("l"));
+    table.apply(&end("l"));
     assert_eq!(freed.load(Ordering::SeqCst), 1);
 }
 
 #[test]
 fn an_output_holds_its_own_command_and_no_other() {
-    let mut register = after(&[submit("l", &["a", "b"])]);
+    let mut table = after(&[submit("l", &["a", "b"])]);
     let encoded = ["a", "b"].map(|item| counted(list_plain("l", item, 1000).encode()));
     let [a, b] = encoded.map(|(encoded, freed)| {
-        register.apply(&Command::decode(&encoded).unwrap());
+        table.apply(&Command::decode(&encoded).unwrap());
         // A slice of the command, not a copy.
-        let text = register.output("l", register.totals().listed - 1).unwrap().stored().as_ptr() as usize;
+        let text = table.output_text("l", table.totals().finished - 1).unwrap().stored().as_ptr() as usize;
         let start = encoded.as_ptr() as usize;
         assert!((start..start + encoded.len()).contains(&text));
         freed
     });
     assert_eq!((a.load(Ordering::SeqCst), b.load(Ordering::SeqCst)), (0, 0));
-    register.apply(&Command::Forget { before: DUE });
+    table.apply(&Command::Forget { before: DUE });
     assert_eq!((a.load(Ordering::SeqCst), b.load(Ordering::SeqCst)), (1, 1));
 }
 
 #[test]
 fn what_is_restored_stays_in_its_pieces_until_it_is_freed() {
     let (chunks, freed): (Vec<Bytes>, Vec<_>) = chunks(&several_chunks()).into_iter().map(counted).unzip();
-    let mut register = restore(&chunks).unwrap();
+    let mut table = restore(&chunks).unwrap();
     drop(chunks);
     let held = || freed.iter().filter(|freed| freed.load(Ordering::SeqCst) == 0).count();
     let all = held();
     assert!(all > 10);
     // Pieces of items whose bodies are gone are freed though all outputs are there.
-    register.apply(&end("k"));
-    register.apply(&end("l"));
+    table.apply(&end("k"));
+    table.apply(&end("l"));
     let outputs = held();
     assert!(outputs < all);
-    assert_eq!(read(&register, "k", 0).unwrap().outputs.len(), 10);
-    register.apply(&Command::Forget { before: DUE });
+    assert_eq!(read(&table, "k", 0).unwrap().outputs.len(), 10);
+    table.apply(&Command::Forget { before: DUE });
     assert_eq!(held(), 0);
 }
 
@@ -267,10 +270,10 @@
 #[test]
 fn nothing_is_taken_after_an_error() {
     let whole = chunks(&several_chunks());
-    let mut restore = RegisterRestore::default();
-    restore.take(&whole[0]).unwrap();
-    assert!(restore.take(&whole[2]).is_err());
-    assert!(whole[1..].iter().all(|chunk| restore.take(chunk).is_err()));
+    let mut restore = JobTableRestore::default();
+    restore.add_chunk(&whole[0]).unwrap();
+    assert!(restore.add_chunk(&whole[2]).is_err());
+    assert!(whole[1..].iter().all(|chunk| restore.add_chunk(chunk).is_err()));
     assert!(restore.finish().is_err());
 }
 
@@ -278,7 +281,7 @@
 fn a_damaged_text_is_refused() {
     let text = "a text with some repetition ".repeat(20);
     let command = list("l", "a", &text);
-    let Command::List { text: stored, .. } = &command else { panic!("a list") };
+    let Command::FinishItem { text: stored, .. } = &command else { panic!("a list") };
     let is_stored = |bytes: &[u8]| bytes.windows(stored.stored().len()).position(|at| at == stored.stored());
     let encoded = command.encode();
     let start = is_stored(&encoded).unwrap();
@@ -306,8 +309,8 @@
     let submit = (job.clone(), 0_i64..100, bodies).prop_map(|(job, at, bodies)| {
         let items = bodies.into_iter().map(|(id, length)| item_with_body(id, length)).collect();
         let mut command = submit_within(job, 0, DUE, items);
-        if let Command::Submit { sent, .. } = &mut command {
-            *sent = at;
+        if let Command::Submit { submitted_at, .. } = &mut command {
+            *submitted_at = at;
         }
         command
     });
@@ -322,14 +325,14 @@
     prop::collection::vec(prop_oneof![4 => submit, 12 => list, 1 => end, 1 => forget], 0..60)
 }
 
-fn assert_same(a: &Register, b: &Register) {
+fn assert_same(a: &JobTable, b: &JobTable) {
     for job in JOBS {
-        assert_eq!(a.knows(job), b.knows(job));
-        (0..8).for_each(|since| assert_eq!(a.read(job, since), b.read(job, since)));
-        ITEMS.iter().for_each(|item| assert_eq!(a.body(job, item), b.body(job, item)));
+        assert_eq!(a.contains_job(job), b.contains_job(job));
+        (0..8).for_each(|since| assert_eq!(a.read_outputs(job, since), b.read_outputs(job, since)));
+        ITEMS.iter().for_each(|item| assert_eq!(a.item_body(job, item), b.item_body(job, item)));
     }
-    assert_eq!(a.waiting(common::ROUTE), b.waiting(common::ROUTE));
-    assert_eq!((a.size(), a.totals()), (b.size(), b.totals()));
+    assert_eq!(a.waiting_tokens(common::ROUTE), b.waiting_tokens(common::ROUTE));
+    assert_eq!((a.memory_bytes(), a.totals()), (b.memory_bytes(), b.totals()));
     assert_eq!(chunks(a), chunks(b));
 }
 
@@ -349,16 +352,16 @@
             prop_assert_eq!(played.apply(command), restored.apply(command));
         }
         assert_same(&played, &restored);
-        let encoded: Vec<Bytes> = (0..snapshot.chunks()).map(|number| snapshot.chunk(number)).collect();
+        let encoded: Vec<Bytes> = (0..snapshot.chunk_count()).map(|number| snapshot.chunk(number)).collect();
         prop_assert_eq!(encoded, old);
     }
 
     /// Its length is foretold, and a piece over the bound holds one record with one item or output.
     #[test]
     fn no_piece_is_over_the_bound_but_one_alone(commands in commands()) {
-        let register = after(&commands);
-        let chunks = chunks(&register);
-        prop_assert_eq!(register.snapshot().size(), chunks.iter().map(|chunk| chunk.len() as u64).sum::<u64>());
+        let table = after(&commands);
+        let chunks = chunks(&table);
+        prop_assert_eq!(table.snapshot().encoded_len(), chunks.iter().map(|chunk| chunk.len() as u64).sum::<u64>());
         for chunk in chunks.iter().filter(|chunk| chunk.len() > CHUNK_BYTES) {
             let count = |at: usize| u32::from_le_bytes(chunk[at..at + 4].try_into().unwrap());
             // Number, records, tag, length of the id, id, items or outputs.
--- a/crates/batch/tests/text.rs
+++ b/crates/batch/tests/text.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rainlug_batch::{MOST_INFLATED, StoredText};
+use rainlug_batch::{MAX_INFLATED_BYTES, StoredText};
 
 /// Of a text's encoding: tag, length, checksum.
 const HEAD: usize = 9;
@@ -36,8 +36,8 @@
     for lines in [10, 25, 40] {
         let text = random_letters(lines);
         let stored = StoredText::new(text.as_bytes());
-        let (stored_len, most) = (stored.stored().len(), text.len() * 68 / 100);
-        assert!(stored_len < most, "{stored_len} of {}", text.len());
+        let (stored_len, max_waiting_tokens) = (stored.stored().len(), text.len() * 68 / 100);
+        assert!(stored_len < max_waiting_tokens, "{stored_len} of {}", text.len());
         assert_eq!(stored.text().unwrap(), text.as_bytes());
     }
 }
@@ -55,9 +55,9 @@
 
 #[test]
 fn the_longest_text_that_is_compressed() {
-    let longest = vec![b'x'; MOST_INFLATED + 1];
+    let longest = vec![b'x'; MAX_INFLATED_BYTES + 1];
     let stored = StoredText::new(&longest[1..]);
-    assert!(stored.stored().len() < MOST_INFLATED / 100);
+    assert!(stored.stored().len() < MAX_INFLATED_BYTES / 100);
     assert_eq!(stored.text().unwrap(), &longest[1..]);
     assert_eq!(StoredText::new(&longest), StoredText::plain(&longest));
 }
@@ -73,8 +73,8 @@
     assert!(of_length(compressed.len() * 1032 + 1).is_err());
     // More than is allowed, of however many bytes.
     let many = vec![0; 1 << 20];
-    assert!(StoredText::from_stored(deflated(MOST_INFLATED as u32, &many)).is_ok());
-    assert!(StoredText::from_stored(deflated(MOST_INFLATED as u32 + 1, &many)).is_err());
+    assert!(StoredText::from_stored(deflated(MAX_INFLATED_BYTES as u32, &many)).is_ok());
+    assert!(StoredText::from_stored(deflated(MAX_INFLATED_BYTES as u32 + 1, &many)).is_err());
     assert!(StoredText::from_stored(deflated(u32::MAX, &many)).is_err());
     // A length that could be, but is not: no text.
     for length in [(1 << 20) - 1, (1 << 20) + 1] {
--- a/crates/coordinator/examples/hollow/mod.rs
+++ b/crates/coordinator/examples/hollow/mod.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
-use rainlug_batch::RunEnd;
+use rainlug_batch::RunOutcome;
 use rainlug_coordinator::{Answer, Call, Coordinator, Effect, NodeInfo, Now, founding_id};
 use rainlug_registry::{Phase, Worker};
 use rand::{Rng, SeedableRng};
@@ -382,7 +382,7 @@
                 self.items_ran += 1;
                 let events = vec![(1, self.output.clone())];
                 self.act(at, |coordinator| {
-                    coordinator.ran(now, shard, &job, &item, events, RunEnd::Complete)
+                    coordinator.ran(now, shard, &job, &item, events, RunOutcome::Complete)
                 });
             }
             Event::Heartbeat { .. } => {}
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -92,7 +92,7 @@
     /// An item of a batch job to be run at a worker; then [`Coordinator::ran`].
     Run {
         shard: u16,
-        next: rainlug_batch::Next,
+        next: rainlug_batch::ItemRun,
     },
     /// Something that staff may want to know.
     Log(&'static str, String),
--- a/crates/coordinator/src/batch_shard.rs
+++ b/crates/coordinator/src/batch_shard.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
-use rainlug_batch::{Applied, Command, RunEnd, read_requests};
+use rainlug_batch::{Applied, Command, RunOutcome, parse_submission};
 use rainlug_registry::Kind;
 
 use crate::invariants::Invariant;
@@ -36,7 +36,7 @@
         }
         let Some(register) = shard.register() else { return };
         // What is in the register is agreed on, whoever leads now.
-        if register.knows(&job) {
+        if register.contains_job(&job) {
             return self.reply(origin, Answer::json(202, "{}"));
         }
         let Some(configuration) = &self.configuration else {
@@ -46,7 +46,7 @@
         else {
             return self.reply(origin, Answer::later(503, SECOND / 2));
         };
-        let items = match read_requests(&body) {
+        let items = match parse_submission(&body) {
             Ok(items) => items,
             Err(odd) => {
                 let error = odd.to_string().replace('\\', "\\\\").replace('"', "\\\"");
@@ -62,12 +62,12 @@
             job: job.clone(),
             route: route.name.clone(),
             host: route.host.clone(),
-            sent: wall,
-            due: wall + route.run_target_ms as Time * 1000,
-            retain: wall + (route.retain_s * SECOND as f64) as Time + CLOCK_SLACK,
-            max_tries: route.max_tries,
+            submitted_at: wall,
+            deadline: wall + route.run_target_ms as Time * 1000,
+            retain_until: wall + (route.retain_s * SECOND as f64) as Time + CLOCK_SLACK,
+            max_attempts: route.max_tries,
             // The route's ledger judges its quota.
-            most: 0,
+            max_waiting_tokens: 0,
             items,
         };
         let (route, most) = (route.name.clone(), route.max_queued_tokens);
@@ -78,11 +78,11 @@
     pub(crate) fn end(&mut self, number: u16, origin: Origin, job: String) {
         let wall = self.now.wall;
         let Some(register) = self.shards.get(&number).and_then(|p| p.register()) else { return };
-        if !register.knows(&job) {
+        if !register.contains_job(&job) {
             // Only after a round is that sure.
             return self.read(number, origin, Wanted::Body { job, item: String::new() });
         }
-        self.propose(number, origin, Command::End { job, at: wall }.encode());
+        self.propose(number, origin, Command::End { job, timestamp: wall }.encode());
     }
 
     pub(crate) fn show_job(&mut self, number: u16, origin: Origin, job: String, since: u64, until: Time) {
@@ -92,8 +92,8 @@
         match register.has_output(&job, since) {
             Some(false) if until > now => shard.polls.push((origin, job, since, until)),
             _ => {
-                let answer = register.read(&job, since);
-                self.reply(origin, answer.map_or(Answer::of(404), |(text, _)| Answer::json(200, text)));
+                let answer = register.read_outputs(&job, since);
+                self.reply(origin, answer.map_or(Answer::of(404), |page| Answer::json(200, page.json)));
             }
         }
     }
@@ -117,27 +117,27 @@
             reports.applied(register, &command);
         }
         if let Some(schedule) = &mut shard.schedule {
-            schedule.applied(register, &command, applied);
+            schedule.handle_applied(register, &command, applied);
         }
-        if let (Command::List { job, .. }, Applied::Listed { .. }) = (&command, applied) {
+        if let (Command::FinishItem { job, .. }, Applied::ItemFinished { .. }) = (&command, applied) {
             let (ready, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut shard.polls)
                 .into_iter()
                 .partition(|(_, of, since, _)| of == job && register.has_output(of, *since) == Some(true));
             shard.polls = rest;
             let ready: Vec<(Origin, String)> = ready
                 .into_iter()
-                .filter_map(|(origin, of, since, _)| Some((origin, register.read(&of, since)?.0)))
+                .filter_map(|(origin, of, since, _)| Some((origin, register.read_outputs(&of, since)?.json)))
                 .collect();
             for (origin, text) in ready {
                 self.reply(origin, Answer::json(200, text));
             }
         }
         let answer = match applied {
-            Applied::Accepted | Applied::Known => Answer::json(202, "{}"),
+            Applied::Accepted | Applied::AlreadyAccepted => Answer::json(202, "{}"),
             // The ledger granted it: a submission here names no limit.
             Applied::OverQuota => Answer::later(429, SECOND / 2),
-            Applied::Ended | Applied::Listed { .. } => Answer::json(200, "{}"),
-            Applied::Nothing => Answer::of(if matches!(command, Command::End { .. }) { 404 } else { 200 }),
+            Applied::Ended | Applied::ItemFinished { .. } => Answer::json(200, "{}"),
+            Applied::NoChange => Answer::of(if matches!(command, Command::End { .. }) { 404 } else { 200 }),
         };
         others.into_iter().for_each(|other| self.reply(other, answer.clone()));
         match mine {
@@ -189,8 +189,8 @@
         let (Machine::BatchJobs(register), Some(schedule)) = (&shard.machine, shard.schedule.as_mut()) else {
             return;
         };
-        if schedule.running() < RUNNING
-            && let Some(next) = schedule.next(register, wall)
+        if schedule.running_count() < RUNNING
+            && let Some(next) = schedule.start_next(register, wall)
         {
             self.effects.push(Effect::Run { shard: number, next });
             // One at a time: the next one is begun as soon as this one has found its worker.
@@ -209,8 +209,8 @@
         }
         let forget = now / FORGET != shard.swept / FORGET;
         shard.swept = now;
-        let mut commands = schedule.overdue(register, wall);
-        if forget && register.size() > 0 {
+        let mut commands = schedule.take_proposals(register, wall);
+        if forget && register.memory_bytes() > 0 {
             commands.push(Command::Forget { before: wall - self.info.job_retention });
         }
         self.propose_quietly(number, commands);
@@ -228,7 +228,7 @@
                 && let (Machine::BatchJobs(register), Some(schedule)) =
                     (&shard.machine, shard.schedule.as_mut())
             {
-                schedule.refused(register, command);
+                schedule.requeue_refused(register, command);
             }
         }
         self.drain(number);
@@ -240,17 +240,17 @@
         job: &str,
         item: &str,
         events: Vec<(u64, Bytes)>,
-        end: RunEnd,
+        end: RunOutcome,
     ) {
         let (now, wall) = (self.now.steady, self.now.wall);
         let Some(shard) = self.shards.get_mut(&number) else { return };
         let (Machine::BatchJobs(register), Some(schedule)) = (&shard.machine, shard.schedule.as_mut()) else {
             return;
         };
-        if end == RunEnd::NoRoom {
+        if end == RunOutcome::NoCapacity {
             shard.pause = now + NO_ROOM;
         }
-        if let Some(command) = schedule.ended(register, wall, job, item, events, end) {
+        if let Some(command) = schedule.finish_run(register, wall, job, item, events, end) {
             self.propose_quietly(number, vec![command]);
         }
     }
--- a/crates/coordinator/src/capacity.rs
+++ b/crates/coordinator/src/capacity.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
-use rainlug_batch::{Item, Totals};
+use rainlug_batch::{Item, ItemTotals};
 use rainlug_wal::rewriting;
 
 use crate::{LOGS_OF_A_DISK, NodeInfo};
@@ -113,14 +113,14 @@
     /// Bytes that the state takes in memory, about; it takes no more on a disk after a rewrite, nor on the
     /// way to an empty one.
     pub rewritten: u64,
-    pub totals: Totals,
+    pub totals: ItemTotals,
 }
 
 impl LogUse {
     /// Bytes that an item's output takes in the log, in the mean of those that came.
     pub fn mean_output(&self) -> u64 {
-        let Totals { listed, output_bytes, .. } = self.totals;
-        let text = if listed < OUTPUTS_NEEDED { OUTPUT_GUESS } else { output_bytes / listed };
+        let ItemTotals { finished, output_bytes, .. } = self.totals;
+        let text = if finished < OUTPUTS_NEEDED { OUTPUT_GUESS } else { output_bytes / finished };
         text + RECORD
     }
 
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -32,7 +32,7 @@
 
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
-use rainlug_batch::RunEnd;
+use rainlug_batch::RunOutcome;
 use rainlug_consensus::{Member, MemberId, Settings};
 use rainlug_fleet::{Card, View, Ways};
 use rainlug_registry::{Configuration, Gossip, gossip, report};
@@ -430,7 +430,7 @@
         job: &str,
         item: &str,
         events: Vec<(u64, Bytes)>,
-        end: RunEnd,
+        end: RunOutcome,
     ) {
         self.now = now;
         self.item_ran(shard, job, item, events, end);
--- a/crates/coordinator/src/machine.rs
+++ b/crates/coordinator/src/machine.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use quick_error::quick_error;
-use rainlug_batch::{QuotaLedger, Register, RegisterRestore, RegisterSnapshot};
+use rainlug_batch::{JobTable, JobTableRestore, JobTableSnapshot, QuotaLedger};
 use rainlug_consensus::{InMemoryState, SnapshotSource};
 
 use crate::CONTROL;
@@ -27,7 +27,7 @@
 /// The state machine in force.
 pub(crate) enum Machine {
     Control(Control),
-    BatchJobs(Register),
+    BatchJobs(JobTable),
 }
 
 /// A state that is built beside the one in force.
@@ -35,18 +35,18 @@
     /// Small enough to be read at once, when all of it is there.
     Control(BytesMut),
     /// The first piece is the ledger, the others are the register's.
-    BatchJobs(Option<QuotaLedger>, Box<RegisterRestore>),
+    BatchJobs(Option<QuotaLedger>, Box<JobTableRestore>),
 }
 
 /// The state of a part of batch jobs as the replica reads it: the ledger in one piece, and the register's pieces.
 struct BatchShardSource {
     quota_ledger: Bytes,
-    register: RegisterSnapshot,
+    register: JobTableSnapshot,
 }
 
 impl SnapshotSource for BatchShardSource {
     fn chunks(&self) -> usize {
-        1 + self.register.chunks()
+        1 + self.register.chunk_count()
     }
 
     fn chunk(&self, number: usize) -> Bytes {
@@ -57,7 +57,7 @@
     }
 
     fn size(&self) -> u64 {
-        self.quota_ledger.len() as u64 + self.register.size()
+        self.quota_ledger.len() as u64 + self.register.encoded_len()
     }
 }
 
@@ -67,7 +67,7 @@
         if shard == CONTROL {
             Machine::Control(Control::default())
         } else {
-            Machine::BatchJobs(Register::default())
+            Machine::BatchJobs(JobTable::default())
         }
     }
 
@@ -103,7 +103,7 @@
                 *quota_ledger = Some(QuotaLedger::restore(chunk).map_err(|_| RestoreError::Malformed)?);
             }
             Restoring::BatchJobs(Some(_), register) => {
-                register.take(chunk).map_err(|_| RestoreError::Malformed)?;
+                register.add_chunk(chunk).map_err(|_| RestoreError::Malformed)?;
             }
         }
         Ok(())
--- a/crates/coordinator/src/quota.rs
+++ b/crates/coordinator/src/quota.rs
@@ -5,7 +5,9 @@
 
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
-use rainlug_batch::{Booked, Command, OpenJob, RESERVATION_GRACE, Register, ReportNumber};
+use rainlug_batch::{
+    Command, JobTable, JobUsage, OpenJob, QuotaOutcome, RESERVATION_GRACE, UsageReportNumber,
+};
 use rainlug_registry::Kind;
 
 use crate::calls::Goal;
@@ -79,7 +81,7 @@
 
 /// What the leader of a part reports to the ledgers of its batch jobs' routes.
 pub(crate) struct Reports {
-    last: ReportNumber,
+    last: UsageReportNumber,
     routes: BTreeMap<String, RouteReport>,
 }
 
@@ -145,10 +147,10 @@
 impl Reports {
     /// Of a leader that has just been elected: all is to be told, also of batch jobs that finished under the leader before and that
     /// no report may have named.
-    pub fn new(register: &Register, term: u64, wall: Time) -> Self {
-        let mut reports = Reports { last: ReportNumber { term, sequence: 0 }, routes: BTreeMap::new() };
-        for (route, job, tokens) in register.open_jobs() {
-            reports.route(route).open.insert(job.to_owned(), tokens);
+    pub fn new(register: &JobTable, term: u64, wall: Time) -> Self {
+        let mut reports = Reports { last: UsageReportNumber { term, sequence: 0 }, routes: BTreeMap::new() };
+        for OpenJob { id, route, waiting_tokens } in register.open_jobs() {
+            reports.route(route).open.insert(id.to_owned(), waiting_tokens);
         }
         for (route, job) in register.closed_jobs_since(wall - 2 * RESERVATION_GRACE) {
             reports.route(route).tell_finished(job, 0);
@@ -174,12 +176,13 @@
     }
 
     /// After a command was applied to the register.
-    pub fn applied(&mut self, register: &Register, command: &Command) {
-        let (Command::Submit { job, .. } | Command::List { job, .. } | Command::End { job, .. }) = command
+    pub fn applied(&mut self, register: &JobTable, command: &Command) {
+        let (Command::Submit { job, .. } | Command::FinishItem { job, .. } | Command::End { job, .. }) =
+            command
         else {
             return;
         };
-        if let Some((route, tokens)) = register.open_job(job) {
+        if let Some(OpenJob { route, waiting_tokens: tokens, .. }) = register.open_job(job) {
             let report = self.route(route);
             report.is_changed |= report.open.insert(job.clone(), tokens) != Some(tokens);
             return;
@@ -216,8 +219,14 @@
             // What is proposed may be committed yet, even if it takes longer than the reservation's grace.
             let proposed = submitting.iter().filter(|(_, s)| s.is_proposed() && s.route == *route);
             open.extend(proposed.map(|(job, s)| (job.clone(), s.tokens)));
-            let open = open.into_iter().map(|(job, tokens)| OpenJob { job, tokens }).collect();
-            let command = Command::Settle { route: route.clone(), shard, number: self.last, at: 0, open };
+            let open = open.into_iter().map(|(job, tokens)| JobUsage { job, tokens }).collect();
+            let command = Command::ReportUsage {
+                route: route.clone(),
+                shard,
+                number: self.last,
+                timestamp: 0,
+                usage: open,
+            };
             due.push((route.clone(), command));
         }
         due
@@ -296,13 +305,13 @@
 
     /// A reservation, asked of this process as the leader of the ledger's part.
     pub(crate) fn reserve(&mut self, number: u16, origin: Origin, command: Command) {
-        let Command::Reserve { route, job, shard, tokens, most, .. } = &command else { return };
+        let Command::Reserve { route, job, shard, tokens, max_waiting_tokens, .. } = &command else { return };
         let Some(counts) = self.shards.get(&number) else { return };
         if shard_of_route(route) != number {
             return self.reply(origin, Answer::of(400));
         }
         // A refusal need not be agreed on: where this copy is old, the job fits when it comes again.
-        if !counts.quota_ledger.has_room(route, job, *shard, *tokens, *most) {
+        if !counts.quota_ledger.can_reserve(route, job, *shard, *tokens, *max_waiting_tokens) {
             return self.reply(origin, Answer::later(429, OVER_QUOTA_RETRY));
         }
         self.propose(number, origin, command.encode());
@@ -312,24 +321,25 @@
     pub(crate) fn settle_tokens(&mut self, number: u16, origin: Origin, report: &Bytes) {
         let wall = self.now.wall;
         let Some(counts) = self.shards.get(&number) else { return };
-        let Ok(Command::Settle { route, shard, number: nth, open, .. }) = Command::decode(report) else {
+        let Ok(Command::ReportUsage { route, shard, number: nth, usage, .. }) = Command::decode(report)
+        else {
             return self.reply(origin, Answer::of(400));
         };
         if shard_of_route(&route) != number {
             return self.reply(origin, Answer::of(400));
         }
-        if !counts.quota_ledger.would_change(&route, shard, nth, &open, wall) {
+        if !counts.quota_ledger.would_change(&route, shard, nth, &usage, wall) {
             return self.reply(origin, Answer::of(200));
         }
-        let command = Command::Settle { route, shard, number: nth, at: wall, open };
+        let command = Command::ReportUsage { route, shard, number: nth, timestamp: wall, usage };
         self.propose(number, origin, command.encode());
     }
 
     /// A command of a ledger is agreed on; `mine` is who waits for it, and whether it is what was proposed.
-    pub(crate) fn booked(&mut self, number: u16, booked: Booked, mine: Option<(bool, Origin)>) {
+    pub(crate) fn booked(&mut self, number: u16, booked: QuotaOutcome, mine: Option<(bool, Origin)>) {
         let answer = match booked {
-            Booked::Granted | Booked::Settled | Booked::Stale => Answer::of(200),
-            Booked::Refused => Answer::later(429, OVER_QUOTA_RETRY),
+            QuotaOutcome::Granted | QuotaOutcome::Reported | QuotaOutcome::Stale => Answer::of(200),
+            QuotaOutcome::Refused => Answer::later(429, OVER_QUOTA_RETRY),
         };
         match mine {
             Some((true, origin)) => self.reply(origin, answer),
--- a/crates/coordinator/src/serving.rs
+++ b/crates/coordinator/src/serving.rs
@@ -70,7 +70,11 @@
             (1.., Request::End { job }) => self.end(number, origin, name(&job)),
             (1.., Request::Reserve { job, route, shard, tokens, most }) => {
                 let (route, job, at) = (name(&route), name(&job), self.now.wall);
-                self.reserve(number, origin, Command::Reserve { route, job, shard, tokens, most, at });
+                self.reserve(
+                    number,
+                    origin,
+                    Command::Reserve { route, job, shard, tokens, max_waiting_tokens: most, timestamp: at },
+                );
             }
             (1.., Request::Settle) => self.settle_tokens(number, origin, &tail),
             _ => self.reply(origin, Answer::of(400)),
@@ -169,7 +173,7 @@
             Wanted::BatchJob { job, since, until } => self.show_job(number, origin, job, since, until),
             Wanted::Body { job, item } => {
                 let Some(register) = self.shards.get(&number).and_then(|p| p.register()) else { return };
-                let body = register.body(&job, &item);
+                let body = register.item_body(&job, &item);
                 let answer = body.map_or(Answer::of(404), |body| Answer { body, ..Answer::of(200) });
                 self.reply(origin, answer);
             }
--- a/crates/coordinator/src/shard.rs
+++ b/crates/coordinator/src/shard.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use rainlug::Time;
-use rainlug_batch::{QuotaLedger, Register, Schedule};
+use rainlug_batch::{JobTable, QuotaLedger, Schedule};
 use rainlug_consensus::{Index, Member, Output, Replica, Restore, Rewrite, Settings};
 use rainlug_registry::gossip;
 
@@ -122,7 +122,7 @@
 
     pub fn next_poll(&self) -> Time {
         let polls = self.polls.iter().map(|p| p.3).min().unwrap_or(Time::MAX);
-        let waits = self.schedule.as_ref().is_some_and(|s| s.waiting() > 0);
+        let waits = self.schedule.as_ref().is_some_and(|s| s.ready_count() > 0);
         if waits && self.pause > 0 { polls.min(self.pause) } else { polls }
     }
 
@@ -133,7 +133,7 @@
         }
     }
 
-    pub fn register(&self) -> Option<&Register> {
+    pub fn register(&self) -> Option<&JobTable> {
         match &self.machine {
             Machine::BatchJobs(register) => Some(register),
             Machine::Control(_) => None,
@@ -145,7 +145,7 @@
         let length = self.disk.length;
         match &self.machine {
             Machine::BatchJobs(register) => {
-                LogUse { length, rewritten: register.size() as u64, totals: register.totals() }
+                LogUse { length, rewritten: register.memory_bytes() as u64, totals: register.totals() }
             }
             Machine::Control(control) => {
                 LogUse { length, rewritten: control.size() as u64, ..LogUse::default() }
@@ -164,7 +164,7 @@
             (name("members"), self.replica.members().0.len() as f64),
         ];
         if let Some(register) = self.register() {
-            metrics.push((name("bytes"), register.size() as f64));
+            metrics.push((name("bytes"), register.memory_bytes() as f64));
             metrics.push((name("file_bytes"), self.disk.length as f64));
             metrics.push((name("tokens_counted"), self.quota_ledger.total_tokens() as f64));
         }
@@ -172,8 +172,8 @@
             metrics.push((name("tokens_waiting"), reports.tokens() as f64));
         }
         if let Some(schedule) = &self.schedule {
-            metrics.push((name("items_running"), schedule.running() as f64));
-            metrics.push((name("items_waiting"), schedule.waiting() as f64));
+            metrics.push((name("items_running"), schedule.running_count() as f64));
+            metrics.push((name("items_waiting"), schedule.ready_count() as f64));
         }
         metrics
     }
@@ -322,7 +322,7 @@
         let term = shard.replica.term();
         if leads {
             if let Machine::BatchJobs(register) = &shard.machine {
-                shard.schedule = Some(Schedule::new(register, self.now.wall));
+                shard.schedule = Some(Schedule::new(register));
                 shard.reports = Some(Reports::new(register, term, self.now.wall));
             }
             self.effects.push(Effect::Log("leads", format!("part {number}, term {term}")));
--- a/crates/coordinator/tests/capacity.rs
+++ b/crates/coordinator/tests/capacity.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 use rainlug::{SECOND, Time};
-use rainlug_batch::{Applied, Command, Item, Register, State, StoredText, Totals};
+use rainlug_batch::{Applied, Command, Item, ItemOutcome, ItemTotals, JobTable, StoredText};
 use rainlug_coordinator::capacity::{
     Bounds, DISK_PATIENCE, LogUse, Refusal, Refusals, ShardDisk, ShardUsage, Usage, job_bytes, lag_bytes,
     shards_to_absorb,
@@ -18,7 +18,7 @@
 
 fn log(length: u64, rewritten: u64, open: u64) -> LogUse {
     // Outputs of 5 KB in the mean.
-    let totals = Totals { open, listed: 1000, output_bytes: 1000 * 5000 };
+    let totals = ItemTotals { open, finished: 1000, output_bytes: 1000 * 5000 };
     LogUse { length, rewritten, totals }
 }
 
@@ -245,7 +245,7 @@
 fn an_output_takes_no_more_room_than_is_reckoned() {
     let text = StoredText::plain(&[b'x'; 5000]);
     let (job, item) = ("f28f2dda36c74a36".to_owned(), "f28f2dda36c74a36-000123".to_owned());
-    let command = Command::List { job, item, state: State::Complete, text }.encode();
+    let command = Command::FinishItem { job, item, outcome: ItemOutcome::Complete, text }.encode();
     let taken = command.len() as u64 + RECORD_HEADERS;
     let reckoned = log(0, 0, 0).mean_output();
     assert!((taken..taken + 100).contains(&reckoned), "{taken} bytes, {reckoned} reckoned");
@@ -258,7 +258,7 @@
 
 #[test]
 fn few_outputs_tell_nothing_of_their_length() {
-    let few = Totals { open: 0, listed: 31, output_bytes: 31 * 100_000 };
+    let few = ItemTotals { open: 0, finished: 31, output_bytes: 31 * 100_000 };
     let guess = LogUse { totals: few, ..LogUse::default() }.mean_output();
     assert_eq!(guess, LogUse::default().mean_output());
     let items: Vec<Item> = (0..10).map(|n| item(n.to_string(), 10, 0)).collect();
@@ -283,7 +283,7 @@
 
 /// A part as the disk and the state machine have it.
 struct Shard {
-    register: Register,
+    register: JobTable,
     length: u64,
     jobs: Vec<(String, Vec<String>)>,
 }
@@ -325,7 +325,7 @@
 
 impl Store {
     fn new(bounds: Bounds, shards: usize, output: usize) -> Self {
-        let shard = || Shard { register: Register::default(), length: 0, jobs: Vec::new() };
+        let shard = || Shard { register: JobTable::default(), length: 0, jobs: Vec::new() };
         let shards = (0..shards).map(|_| shard()).collect();
         Store { bounds, shards, accepted: 0, refused: 0, now: 0, output, rewrites: true }
     }
@@ -333,7 +333,7 @@
     fn usage(&self) -> Usage {
         let log = |shard: &Shard| LogUse {
             length: shard.length,
-            rewritten: shard.register.size() as u64,
+            rewritten: shard.register.memory_bytes() as u64,
             totals: shard.register.totals(),
         };
         usage(&self.shards.iter().map(log).collect::<Vec<_>>())
@@ -359,7 +359,7 @@
                 let shard = shard % self.shards.len();
                 let jobs = &self.shards[shard].jobs;
                 if let Some((job, _)) = jobs.get(job % jobs.len().max(1)).cloned() {
-                    self.apply(shard, &Command::End { job, at: self.now });
+                    self.apply(shard, &Command::End { job, timestamp: self.now });
                 }
             }
             Step::Forget { shard } => {
@@ -389,11 +389,11 @@
             job: name.clone(),
             route: "lots".to_owned(),
             host: "a.example".to_owned(),
-            sent: self.now,
-            due: self.now,
-            retain: self.now,
-            max_tries: 3,
-            most: 0,
+            submitted_at: self.now,
+            deadline: self.now,
+            retain_until: self.now,
+            max_attempts: 3,
+            max_waiting_tokens: 0,
             items,
         };
         assert_eq!(self.apply(shard, &command), Applied::Accepted);
@@ -405,13 +405,14 @@
         let found = self.shards[shard].jobs.iter_mut().find_map(|(job, ids)| Some((job.clone(), ids.pop()?)));
         let Some((job, item)) = found else { return };
         let text = Bytes::from(vec![b'y'; self.output]);
-        let command = Command::List { job, item, state: State::Complete, text: StoredText::plain(&text) };
+        let command =
+            Command::FinishItem { job, item, outcome: ItemOutcome::Complete, text: StoredText::plain(&text) };
         // Of a batch job that was ended, nothing is listed any more.
         let open = self.shards[shard].register.totals().open;
-        let is_ended = matches!(&command, Command::List { job, item, .. }
-            if self.shards[shard].register.body(job, item).is_none());
+        let is_ended = matches!(&command, Command::FinishItem { job, item, .. }
+            if self.shards[shard].register.item_body(job, item).is_none());
         if open > 0 && !is_ended {
-            assert!(matches!(self.apply(shard, &command), Applied::Listed { .. }));
+            assert!(matches!(self.apply(shard, &command), Applied::ItemFinished { .. }));
         }
     }
 
@@ -424,7 +425,7 @@
             let usage = self.usage();
             if self.bounds.is_rewrite_due(&usage, &usage.shards[place].log) {
                 let shard = &mut self.shards[place];
-                shard.length = shard.register.snapshot().size() + RECORD_HEADERS;
+                shard.length = shard.register.snapshot().encoded_len() + RECORD_HEADERS;
             }
         }
     }
@@ -432,8 +433,8 @@
     /// No bound is passed, by bytes as they are encoded.
     fn check(&self) {
         let files: u64 = self.shards.iter().map(|shard| shard.length).sum();
-        let state: u64 = self.shards.iter().map(|shard| shard.register.size() as u64).sum();
-        let sent: u64 = self.shards.iter().map(|shard| shard.register.snapshot().size()).sum();
+        let state: u64 = self.shards.iter().map(|shard| shard.register.memory_bytes() as u64).sum();
+        let sent: u64 = self.shards.iter().map(|shard| shard.register.snapshot().encoded_len()).sum();
         // A snapshot of nothing has its counts, and a rewritten file the headers of its record.
         let counts = (64 + RECORD_HEADERS) * self.shards.len() as u64;
         assert!(sent <= state + counts, "a snapshot of {sent} bytes, {state} reckoned");
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
-use rainlug_batch::RunEnd;
+use rainlug_batch::RunOutcome;
 use rainlug_coordinator::{
     Answer, Call, Coordinator, Effect, KEEP_SLACK, NodeInfo, Now, founding_id, shard_of_job,
 };
@@ -410,7 +410,7 @@
                 coordinator.due(now);
             }
             Event::Ran { shard, job, item, events, .. } => {
-                coordinator.ran(now, shard, &job, &item, events, RunEnd::Complete);
+                coordinator.ran(now, shard, &job, &item, events, RunOutcome::Complete);
             }
         }
         if let (Some(cost), Some(before)) = (self.cost, allocated_before) {
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use quick_error::quick_error;
 use rainlug::Time;
-use rainlug_batch::{Next, RunEnd};
+use rainlug_batch::{ItemRun, RunOutcome};
 use rainlug_coordinator::{Answer, Call, Coordinator, Effect, KEEP_SLACK, NodeInfo, Now, founding_id};
 use rainlug_fleet::envelope::{Envelope, MOST};
 use rainlug_gateway::{Gateway, Item, RanEnd, Reply, Replying};
@@ -353,16 +353,16 @@
         answered.await.unwrap_or_else(|_| Answer::of(503))
     }
 
-    async fn item(self: Rc<Self>, shard: u16, next: Next) {
+    async fn item(self: Rc<Self>, shard: u16, next: ItemRun) {
         let route = {
             let configuration = self.configuration.borrow();
             configuration.as_ref().and_then(|c| c.routes.iter().find(|r| r.name == next.route).cloned())
         };
         let (job, id) = (next.job.clone(), next.item.id.clone());
         let (events, end) = match route {
-            None => (Vec::new(), RunEnd::NoRoom),
+            None => (Vec::new(), RunOutcome::NoCapacity),
             Some(route) => {
-                let left = (next.until - self.clock.now().wall).max(0) / 1000;
+                let left = (next.retain_until - self.clock.now().wall).max(0) / 1000;
                 let item = Item {
                     id: next.item.id,
                     route,
@@ -375,11 +375,11 @@
                 };
                 let ran = self.gateway.item(item).await;
                 let end = match ran.end {
-                    RanEnd::Complete => RunEnd::Complete,
-                    RanEnd::Failed => RunEnd::Failed,
-                    RanEnd::Never => RunEnd::Never,
-                    RanEnd::Again => RunEnd::Again,
-                    RanEnd::NoRoom => RunEnd::NoRoom,
+                    RanEnd::Complete => RunOutcome::Complete,
+                    RanEnd::Failed => RunOutcome::Failed,
+                    RanEnd::Never => RunOutcome::Unprocessable,
+                    RanEnd::Again => RunOutcome::Interrupted,
+                    RanEnd::NoRoom => RunOutcome::NoCapacity,
                 };
                 (ran.events, end)
             }
