--- a/crates/coordinator/src/quota.rs
+++ b/crates/coordinator/src/quota.rs
@@ -8,7 +8,7 @@
 use rainlug_batch::{
     Command, JobTable, JobUsage, OpenJob, QuotaOutcome, RESERVATION_GRACE, UsageReportNumber,
 };
-use rainlug_registry::Kind;
+use rainlug_registry::RouteKind;
 
 use crate::calls::Goal;
 use crate::frame::Request;
@@ -352,7 +352,7 @@
     pub(crate) fn watch_routes(&mut self) {
         let Some(configuration) = &self.configuration else { return };
         for reports in self.shards.values_mut().filter_map(|shard| shard.reports.as_mut()) {
-            let routes = configuration.routes.iter().filter(|route| route.kind == Kind::Bulk);
+            let routes = configuration.routes.iter().filter(|route| route.kind == RouteKind::Bulk);
             routes.for_each(|route| {
                 reports.route(&route.name);
             });
