--- a/crates/batch/src/command.rs
+++ b/crates/batch/src/command.rs
@@ -1,11 +1,18 @@
+//! Commands of a shard's log. They change its [`JobTable`](crate::JobTable) or the [`QuotaLedger`](crate::QuotaLedger) beside it.
+//!
+//! Their encoding is replicated and stored, so it stays as it is; tests pin it.
+
 use bytes::Bytes;
 use deku::ctx::Endian;
 use deku::prelude::*;
 use quick_error::quick_error;
 use rainlug::Time;
 
-use crate::text::{self, StoredText};
-use crate::wire::{self, Source};
+use crate::text::{StoredText, read_stored_text, write_stored_text};
+use crate::wire::{
+    self, Source, read_bytes, read_list, read_text, read_text_pairs, write_bytes, write_list, write_text,
+    write_text_pairs,
+};
 use crate::{JobUsage, UsageReportNumber};
 
 quick_error! {
@@ -19,145 +26,136 @@
     }
 }
 
-/// An item as it was handed in. Decoded, its body is a slice of the command.
+/// An item as it was submitted: a request to a worker. Decoded, its body is a slice of the command.
 #[derive(Clone, Debug, PartialEq, DekuRead, DekuWrite)]
 #[deku(ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
 pub struct Item {
-    #[deku(
-        reader = "wire::read_text(deku::reader, source)",
-        writer = "wire::write_bytes(deku::writer, id.as_bytes())"
-    )]
+    /// Distinct within the batch job.
+    #[deku(reader = "read_text(deku::reader, source)", writer = "write_text(deku::writer, id)")]
     pub id: String,
-    #[deku(
-        reader = "wire::read_text(deku::reader, source)",
-        writer = "wire::write_bytes(deku::writer, path.as_bytes())"
-    )]
+    /// The request's path, with its query.
+    #[deku(reader = "read_text(deku::reader, source)", writer = "write_text(deku::writer, path)")]
     pub path: String,
+    /// The request's header fields: name, value.
     #[deku(
-        reader = "wire::read_pairs(deku::reader, source)",
-        writer = "wire::write_pairs(deku::writer, headers)"
+        reader = "read_text_pairs(deku::reader, source)",
+        writer = "write_text_pairs(deku::writer, headers)"
     )]
     pub headers: Vec<(String, String)>,
-    #[deku(
-        reader = "wire::read_bytes(deku::reader, source)",
-        writer = "wire::write_bytes(deku::writer, body)"
-    )]
+    /// The request's body.
+    #[deku(reader = "read_bytes(deku::reader, source)", writer = "write_bytes(deku::writer, body)")]
     pub body: Bytes,
-    /// Tokens of the prompt and the most out, added together.
+    /// Tokens of the prompt and of the longest possible output together.
     pub token_count: u64,
 }
 
-/// How an item was listed.
+/// How an item finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", ctx = "endian: Endian", ctx_default = "Endian::Little", endian = "endian")]
 pub enum ItemOutcome {
+    /// A worker's answer is its output.
     #[deku(id = 0)]
     Complete,
+    /// It was given up: its attempts or its time ran out, or it can never succeed. Its output is empty.
     #[deku(id = 1)]
     Abandoned,
 }
 
-/// A change of the register, or of the ledger beside it. Encoded by `deku`. Times are Unix time in microseconds.
+/// A change of the job table, or of the quota ledger. Times are Unix time in microseconds.
 #[derive(Clone, Debug, PartialEq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
 pub enum Command {
-    /// `sent` is when the leader first saw it, `due` when all results are, `retain` when items may be given
-    /// up. `most` tokens may wait on the route (0: no limit).
+    /// Accepts a batch job.
     #[deku(id = 0)]
     Submit {
-        #[deku(
-            reader = "wire::read_text(deku::reader, source)",
-            writer = "wire::write_bytes(deku::writer, job.as_bytes())"
-        )]
+        /// The batch job's id.
+        #[deku(reader = "read_text(deku::reader, source)", writer = "write_text(deku::writer, job)")]
         job: String,
-        #[deku(
-            reader = "wire::read_text(deku::reader, source)",
-            writer = "wire::write_bytes(deku::writer, route.as_bytes())"
-        )]
+        /// The name of its route.
+        #[deku(reader = "read_text(deku::reader, source)", writer = "write_text(deku::writer, route)")]
         route: String,
-        #[deku(
-            reader = "wire::read_text(deku::reader, source)",
-            writer = "wire::write_bytes(deku::writer, host.as_bytes())"
-        )]
+        /// The `Host` of its requests to workers.
+        #[deku(reader = "read_text(deku::reader, source)", writer = "write_text(deku::writer, host)")]
         host: String,
+        /// When the leader first saw it.
         submitted_at: Time,
+        /// When all outputs are to be there; the schedule's order.
         deadline: Time,
+        /// When items that are not finished are abandoned.
         retain_until: Time,
+        /// Failed runs after which an item is abandoned.
         max_attempts: u32,
+        /// Tokens that may wait on the route in this shard's table, with this batch job's (0: no limit).
         max_waiting_tokens: u64,
-        #[deku(
-            reader = "wire::read_list(deku::reader, source)",
-            writer = "wire::write_list(deku::writer, items)"
-        )]
+        /// The items, with distinct ids.
+        #[deku(reader = "read_list(deku::reader, source)", writer = "write_list(deku::writer, items)")]
         items: Vec<Item>,
     },
-    /// The next position of the batch job; nothing where the item is listed already or the batch job is not
-    /// known.
+    /// Finishes an item: its output gets the next position of the batch job. Changes nothing where the item is not open.
     #[deku(id = 1)]
     FinishItem {
-        #[deku(
-            reader = "wire::read_text(deku::reader, source)",
-            writer = "wire::write_bytes(deku::writer, job.as_bytes())"
-        )]
+        /// The batch job's id.
+        #[deku(reader = "read_text(deku::reader, source)", writer = "write_text(deku::writer, job)")]
         job: String,
-        #[deku(
-            reader = "wire::read_text(deku::reader, source)",
-            writer = "wire::write_bytes(deku::writer, item.as_bytes())"
-        )]
+        /// The item's id.
+        #[deku(reader = "read_text(deku::reader, source)", writer = "write_text(deku::writer, item)")]
         item: String,
+        /// How it finished.
         outcome: ItemOutcome,
-        /// Decoded, it is a slice of the command.
-        #[deku(reader = "text::read(deku::reader, source)", writer = "text::write(deku::writer, text)")]
+        /// The output's text. Decoded, it is a slice of the command.
+        #[deku(
+            reader = "read_stored_text(deku::reader, source)",
+            writer = "write_stored_text(deku::writer, text)"
+        )]
         text: StoredText,
     },
+    /// Ends a batch job: its open items will have no output.
     #[deku(id = 2)]
     End {
-        #[deku(
-            reader = "wire::read_text(deku::reader, source)",
-            writer = "wire::write_bytes(deku::writer, job.as_bytes())"
-        )]
+        /// The batch job's id.
+        #[deku(reader = "read_text(deku::reader, source)", writer = "write_text(deku::writer, job)")]
         job: String,
+        /// When the leader proposed it.
         timestamp: Time,
     },
-    /// Forgets batch jobs sent before, where all is listed or ended; those sent first, and of many a bounded
-    /// number.
+    /// Forgets batch jobs without open items, a bounded number of them, earliest first.
     #[deku(id = 3)]
-    Forget { before: Time },
-    /// Of the ledger: tokens of a batch job of `part`, before it is submitted there. `most` tokens may wait on the route (0: no
-    /// limit).
+    Forget {
+        /// Only batch jobs that were submitted before this time.
+        before: Time,
+    },
+    /// Of the quota ledger: reserves a batch job's tokens before it is submitted to its shard.
     #[deku(id = 4)]
     Reserve {
-        #[deku(
-            reader = "wire::read_text(deku::reader, source)",
-            writer = "wire::write_bytes(deku::writer, route.as_bytes())"
-        )]
+        /// The name of the batch job's route.
+        #[deku(reader = "read_text(deku::reader, source)", writer = "write_text(deku::writer, route)")]
         route: String,
-        #[deku(
-            reader = "wire::read_text(deku::reader, source)",
-            writer = "wire::write_bytes(deku::writer, job.as_bytes())"
-        )]
+        /// The batch job's id.
+        #[deku(reader = "read_text(deku::reader, source)", writer = "write_text(deku::writer, job)")]
         job: String,
+        /// The batch job's shard.
         shard: u16,
+        /// Tokens of all its items.
         tokens: u64,
+        /// Tokens that may be reserved on the route, with these (0: no limit).
         max_waiting_tokens: u64,
+        /// When the ledger's leader proposed it.
         timestamp: Time,
     },
-    /// Of the ledger: all unfinished batch jobs of a route in `part`, as that part's leader reports them, and those that have
-    /// finished since its last report.
+    /// Of the quota ledger: a shard's leader reports its batch jobs of a route.
     #[deku(id = 5)]
     ReportUsage {
-        #[deku(
-            reader = "wire::read_text(deku::reader, source)",
-            writer = "wire::write_bytes(deku::writer, route.as_bytes())"
-        )]
+        /// The route's name.
+        #[deku(reader = "read_text(deku::reader, source)", writer = "write_text(deku::writer, route)")]
         route: String,
+        /// The shard.
         shard: u16,
+        /// The report's place among those of the shard.
         number: UsageReportNumber,
+        /// When the ledger's leader proposed it.
         timestamp: Time,
-        #[deku(
-            reader = "wire::read_list(deku::reader, source)",
-            writer = "wire::write_list(deku::writer, usage)"
-        )]
+        /// All batch jobs of the route with open items in the shard, and those without that were not reported as such before.
+        #[deku(reader = "read_list(deku::reader, source)", writer = "write_list(deku::writer, usage)")]
         usage: Vec<JobUsage>,
     },
 }
@@ -165,19 +163,21 @@
 impl Command {
     /// The bytes that [`Command::decode`] reads.
     pub fn encode(&self) -> Bytes {
-        let about = match self {
-            Command::Submit { items, .. } => items.iter().map(|i| 512 + i.body.len()).sum(),
+        /// Bytes of a command or item besides bodies and texts, generously.
+        const CAPACITY: usize = 512;
+        let contents = match self {
+            Command::Submit { items, .. } => items.iter().map(|item| CAPACITY + item.body.len()).sum(),
             Command::FinishItem { text, .. } => text.stored().len(),
-            Command::ReportUsage { usage, .. } => usage.iter().map(|open| 16 + open.job.len()).sum(),
+            Command::ReportUsage { usage, .. } => usage.iter().map(|usage| 16 + usage.job.len()).sum(),
             Command::End { .. } | Command::Forget { .. } | Command::Reserve { .. } => 0,
         };
-        wire::encode(self, 512 + about)
+        wire::encode(self, CAPACITY + contents)
     }
 
-    /// Bodies and texts are slices of the bytes; all else is copied.
+    /// Decodes a command. Bodies and texts are slices of the bytes; all else is copied.
     ///
     /// # Errors
-    /// Where the bytes are not a command.
+    /// Where the bytes are not one command.
     pub fn decode(bytes: &Bytes) -> Result<Self, DecodeError> {
         wire::decode(bytes).map_err(DecodeError::Command)
     }
--- a/crates/batch/src/item.rs
+++ b/crates/batch/src/item.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use deku::prelude::*;
 
-use crate::text::{self, StoredText};
+use crate::text::{StoredText, read_stored_text, write_stored_text};
 use crate::wire::{COUNT_LEN, Source};
 use crate::{Item, ItemOutcome};
 
@@ -106,7 +106,10 @@
     /// Index of the item in its batch job.
     pub item_index: u32,
     pub outcome: ItemOutcome,
-    #[deku(reader = "text::read(deku::reader, source)", writer = "text::write(deku::writer, text)")]
+    #[deku(
+        reader = "read_stored_text(deku::reader, source)",
+        writer = "write_stored_text(deku::writer, text)"
+    )]
     pub text: StoredText,
 }
 
--- a/crates/batch/src/job.rs
+++ b/crates/batch/src/job.rs
@@ -15,7 +15,7 @@
 use crate::item::{self, ALLOCATION_OVERHEAD, JobItem, Output};
 use crate::layout::{Groups, max_group_bytes};
 use crate::text::StoredText;
-use crate::wire::{self, COUNT_LEN, Source};
+use crate::wire::{COUNT_LEN, Source, read_shared_text, read_text, write_text};
 use crate::{Item, ItemOutcome};
 
 /// What of a batch job never changes. Times are Unix time in microseconds.
@@ -26,22 +26,13 @@
     endian = "little"
 )]
 pub(crate) struct BatchJobHeader {
-    #[deku(
-        reader = "wire::read_shared_text(deku::reader, source)",
-        writer = "wire::write_bytes(deku::writer, id.as_bytes())"
-    )]
+    #[deku(reader = "read_shared_text(deku::reader, source)", writer = "write_text(deku::writer, id)")]
     pub id: Arc<str>,
     /// Batch jobs that the table accepted before this one.
     pub number: u64,
-    #[deku(
-        reader = "wire::read_text(deku::reader, source)",
-        writer = "wire::write_bytes(deku::writer, route.as_bytes())"
-    )]
+    #[deku(reader = "read_text(deku::reader, source)", writer = "write_text(deku::writer, route)")]
     pub route: String,
-    #[deku(
-        reader = "wire::read_text(deku::reader, source)",
-        writer = "wire::write_bytes(deku::writer, host.as_bytes())"
-    )]
+    #[deku(reader = "read_text(deku::reader, source)", writer = "write_text(deku::writer, host)")]
     pub host: String,
     pub submitted_at: Time,
     pub deadline: Time,
--- a/crates/batch/src/quota_ledger.rs
+++ b/crates/batch/src/quota_ledger.rs
@@ -1,31 +1,39 @@
-//! The ledger of a route: the tokens of all unfinished batch jobs, in whichever part each of them is kept. It is replicated in
-//! the log of one part, so that a quota over all parts is judged in one place.
+//! The quota ledger: tokens of a route's batch jobs over all shards.
+//!
+//! A route's quota counts the batch jobs of all shards, so it is judged in one place: the log of the shard that the route's name maps
+//! to. Before a batch job is submitted to its own shard, its tokens are reserved here. From then on the leader of its shard reports
+//! what still waits ([`Command::ReportUsage`]), and each report replaces the shard's entries. A reservation that no report names in
+//! time ([`RESERVATION_GRACE`]) is released: its batch job was never accepted.
+//!
+//! The ledger is part of the shard's replicated state. Its only clock is the timestamps of commands, so replicas agree.
 
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
+use deku::ctx::Endian;
 use deku::prelude::*;
 use rainlug::{SECOND, Time};
 
-use crate::wire::{self, Source};
+use crate::wire::{self, Source, read_map, read_text, write_map, write_text};
 use crate::{Command, DecodeError};
 
-/// A reservation that no report has named is released after this time: its batch job was never accepted.
+/// A reservation that no report has named is released after this time (microseconds): its batch job was never accepted.
 pub const RESERVATION_GRACE: Time = 30 * SECOND;
 /// Batch jobs that one route may have in its ledger.
 pub const MAX_JOBS: usize = 100_000;
-/// A route that has no entry is forgotten once its last report is so old.
-const FORGOTTEN_AFTER: Time = 600 * SECOND;
+/// A route without entries is forgotten once its last report is older than this.
+const ROUTE_RETENTION: Time = 600 * SECOND;
+/// Bytes of a snapshot that are allocated at first.
+const SNAPSHOT_CAPACITY: usize = 64;
 
-/// A batch job and its tokens that still wait; none where it is finished, so that its reservation is released at once.
+/// What a batch job uses of its route's quota.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
 pub struct JobUsage {
-    #[deku(
-        reader = "wire::read_text(deku::reader, source)",
-        writer = "wire::write_bytes(deku::writer, job.as_bytes())"
-    )]
+    /// The batch job's id.
+    #[deku(reader = "read_text(deku::reader, source)", writer = "write_text(deku::writer, job)")]
     pub job: String,
+    /// Tokens of its open items; 0 where it has none, so that its reservation is released at once.
     pub tokens: u64,
 }
 
@@ -42,40 +50,60 @@
     Stale,
 }
 
-/// The order of a part's reports: by the term of the leader that made them, then by its own count.
+/// The order of a shard's reports: by the term of the leader that made them, then by the leader's own count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, DekuRead, DekuWrite)]
-#[deku(endian = "endian", ctx = "endian: deku::ctx::Endian", ctx_default = "deku::ctx::Endian::Little")]
+#[deku(endian = "endian", ctx = "endian: Endian", ctx_default = "Endian::Little")]
 pub struct UsageReportNumber {
+    /// The leader's term (Ongaro's thesis, 3.3).
     pub term: u64,
+    /// Reports of the leader up to this one.
     pub sequence: u64,
 }
 
-/// Tokens by route. The same commands in the same order give the same ledger.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
+/// Reserved and waiting tokens by route. The same commands in the same order give the same ledger.
+#[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
+#[deku(ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
 pub struct QuotaLedger {
-    /// The latest time of day that any command has named: it never goes backwards.
+    /// The latest timestamp of all commands: it never goes backwards.
     clock: Time,
-    routes: BTreeMap<String, Account>,
+    #[deku(
+        reader = "read_map(deku::reader, source, read_text)",
+        writer = "write_map(deku::writer, routes, write_text)"
+    )]
+    routes: BTreeMap<String, RouteAccount>,
 }
 
-/// A route's entries.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Account {
-    /// The sum of all entries. As `u128`, so that no sum of `u64` is too large.
-    tokens: u128,
+/// The entries of one route.
+#[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
+#[deku(ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
+struct RouteAccount {
+    #[deku(
+        reader = "read_map(deku::reader, source, |reader, _| u16::from_reader_with_ctx(reader, Endian::Little))",
+        writer = "write_map(deku::writer, shards, |writer, shard| shard.to_writer(writer, Endian::Little))"
+    )]
     shards: BTreeMap<u16, ShardAccount>,
+    /// Tokens of all entries; not stored. As `u128`, so that no sum of `u64` overflows.
+    #[deku(skip, default = "shards.values().map(ShardAccount::tokens).sum()")]
+    tokens: u128,
 }
 
-/// A route's entries of the batch jobs of one part.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
+/// The entries of one route that are batch jobs of one shard.
+#[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
+#[deku(ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
 struct ShardAccount {
-    /// The newest report that was entered, and when.
-    reported: UsageReportNumber,
-    reported_at: Time,
+    last_report: UsageReportNumber,
+    /// The ledger's clock when the last report was entered.
+    last_report_at: Time,
+    #[deku(
+        reader = "read_map(deku::reader, source, read_text)",
+        writer = "write_map(deku::writer, jobs, write_text)"
+    )]
     jobs: BTreeMap<String, Entry>,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// A batch job's tokens.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
+#[deku(ctx = "_source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
 struct Entry {
     tokens: u64,
     reserved_at: Time,
@@ -84,16 +112,16 @@
 }
 
 impl QuotaLedger {
-    /// Applies a command; nothing where it is none of the ledger's.
+    /// Applies a committed command; nothing where it is none of the ledger's.
     pub fn apply(&mut self, command: &Command) -> Option<QuotaOutcome> {
         match command {
             Command::Reserve { route, job, shard, tokens, max_waiting_tokens, timestamp } => {
-                self.advance(*timestamp);
+                self.advance_clock(*timestamp);
                 Some(self.reserve(route, job, *shard, *tokens, *max_waiting_tokens))
             }
             Command::ReportUsage { route, shard, number, timestamp, usage } => {
-                self.advance(*timestamp);
-                Some(self.settle(route, *shard, *number, usage))
+                self.advance_clock(*timestamp);
+                Some(self.report(route, *shard, *number, usage))
             }
             Command::Submit { .. }
             | Command::FinishItem { .. }
@@ -102,10 +130,10 @@
         }
     }
 
-    fn advance(&mut self, at: Time) {
-        self.clock = self.clock.max(at);
+    fn advance_clock(&mut self, timestamp: Time) {
+        self.clock = self.clock.max(timestamp);
         let clock = self.clock;
-        self.routes.retain(|_, account| !account.is_forgotten(clock));
+        self.routes.retain(|_, account| !account.is_expired(clock));
     }
 
     fn reserve(
@@ -129,8 +157,8 @@
         QuotaOutcome::Granted
     }
 
-    /// Whether a reservation would be granted now. At most `most` tokens may wait (0: no limit); a batch job that is entered
-    /// with as many tokens always has room.
+    /// Whether a reservation would be granted now: at most `max_waiting_tokens` may be reserved on the route (0: no limit), and at most
+    /// [`MAX_JOBS`] batch jobs. A batch job that has as many tokens reserved already is always granted them.
     pub fn can_reserve(
         &self,
         route: &str,
@@ -143,49 +171,49 @@
             return max_waiting_tokens == 0 || tokens <= max_waiting_tokens;
         };
         let entry = account.shards.get(&shard).and_then(|shard| shard.jobs.get(job));
-        let more = tokens.saturating_sub(entry.map_or(0, |entry| entry.tokens));
-        let fits =
-            max_waiting_tokens == 0 || account.tokens + u128::from(more) <= u128::from(max_waiting_tokens);
+        let additional = tokens.saturating_sub(entry.map_or(0, |entry| entry.tokens));
+        let fits = max_waiting_tokens == 0
+            || account.tokens + u128::from(additional) <= u128::from(max_waiting_tokens);
         match entry {
-            Some(_) => more == 0 || fits,
-            None => fits && account.jobs() < MAX_JOBS,
+            Some(_) => additional == 0 || fits,
+            None => fits && account.job_count() < MAX_JOBS,
         }
     }
 
-    fn settle(
+    fn report(
         &mut self,
         route: &str,
         shard: u16,
         number: UsageReportNumber,
-        open: &[JobUsage],
+        usage: &[JobUsage],
     ) -> QuotaOutcome {
         let account = self.routes.entry(route.to_owned()).or_default();
         let shard = account.shards.entry(shard).or_default();
-        if shard.reported >= number {
+        if shard.last_report >= number {
             return QuotaOutcome::Stale;
         }
         account.tokens -= shard.tokens();
-        shard.jobs = shard.settled(open, self.clock);
+        shard.jobs = shard.jobs_after_report(usage, self.clock);
         account.tokens += shard.tokens();
-        (shard.reported, shard.reported_at) = (number, self.clock);
+        (shard.last_report, shard.last_report_at) = (number, self.clock);
         QuotaOutcome::Reported
     }
 
-    /// Whether a report would change an entry, or is the first one of its term.
+    /// Whether a report would change an entry, or is the first one of its term. Others need not be committed.
     pub fn would_change(
         &self,
         route: &str,
         shard: u16,
         number: UsageReportNumber,
-        open: &[JobUsage],
-        at: Time,
+        usage: &[JobUsage],
+        timestamp: Time,
     ) -> bool {
         let Some(shard) = self.routes.get(route).and_then(|account| account.shards.get(&shard)) else {
-            return !open.is_empty();
+            return !usage.is_empty();
         };
-        let clock = self.clock.max(at);
-        number.term > shard.reported.term
-            || number > shard.reported && shard.settled(open, clock) != shard.jobs
+        let clock = self.clock.max(timestamp);
+        number.term > shard.last_report.term
+            || number > shard.last_report && shard.jobs_after_report(usage, clock) != shard.jobs
     }
 
     /// Tokens of a route that are reserved or wait.
@@ -199,39 +227,29 @@
         u64::try_from(tokens).unwrap_or(u64::MAX)
     }
 
-    /// All of it as bytes; equal ledgers give equal bytes.
+    /// The ledger as bytes; equal ledgers give equal bytes.
     pub fn snapshot(&self) -> Bytes {
-        let routes = self.routes.iter().map(|(route, account)| account.image(route)).collect();
-        wire::encode(&Image { clock: self.clock, routes }, 64)
+        wire::encode(self, SNAPSHOT_CAPACITY)
     }
 
+    /// The ledger that a [`QuotaLedger::snapshot`] was taken of.
+    ///
     /// # Errors
     /// Where the bytes are not a snapshot.
     pub fn restore(snapshot: &Bytes) -> Result<Self, DecodeError> {
-        let image: Image = wire::decode(snapshot).map_err(DecodeError::QuotaLedger)?;
-        let routes = image.routes.into_iter().map(|route| (route.route.clone(), Account::of(route)));
-        Ok(QuotaLedger { clock: image.clock, routes: routes.collect() })
+        wire::decode(snapshot).map_err(DecodeError::QuotaLedger)
     }
 }
 
-impl Account {
-    fn jobs(&self) -> usize {
+impl RouteAccount {
+    fn job_count(&self) -> usize {
         self.shards.values().map(|shard| shard.jobs.len()).sum()
     }
 
-    fn is_forgotten(&self, clock: Time) -> bool {
-        self.shards.values().all(|shard| shard.jobs.is_empty() && clock - shard.reported_at > FORGOTTEN_AFTER)
-    }
-
-    fn image(&self, route: &str) -> RouteImage {
-        let shards = self.shards.iter().map(|(shard, account)| account.image(*shard)).collect();
-        RouteImage { route: route.to_owned(), shards }
-    }
-
-    fn of(image: RouteImage) -> Self {
-        let shards: BTreeMap<u16, ShardAccount> =
-            image.shards.into_iter().map(|shard| (shard.shard, ShardAccount::of(shard))).collect();
-        Account { tokens: shards.values().map(ShardAccount::tokens).sum(), shards }
+    fn is_expired(&self, clock: Time) -> bool {
+        self.shards
+            .values()
+            .all(|shard| shard.jobs.is_empty() && clock - shard.last_report_at > ROUTE_RETENTION)
     }
 }
 
@@ -240,12 +258,12 @@
         self.jobs.values().map(|entry| u128::from(entry.tokens)).sum()
     }
 
-    /// The entries after a report: those that it names, and the reservations that it may not know of yet.
-    fn settled(&self, open: &[JobUsage], clock: Time) -> BTreeMap<String, Entry> {
-        let is_fresh = |entry: &Entry| !entry.is_reported && clock - entry.reserved_at < RESERVATION_GRACE;
-        let fresh = self.jobs.iter().filter(|(_, entry)| is_fresh(entry));
-        let mut jobs: BTreeMap<String, Entry> = fresh.map(|(job, entry)| (job.clone(), *entry)).collect();
-        for JobUsage { job, tokens } in open {
+    /// The entries after a report: those that it names, and recent reservations that it may not know of yet.
+    fn jobs_after_report(&self, usage: &[JobUsage], clock: Time) -> BTreeMap<String, Entry> {
+        let is_recent = |entry: &Entry| !entry.is_reported && clock - entry.reserved_at < RESERVATION_GRACE;
+        let recent = self.jobs.iter().filter(|(_, entry)| is_recent(entry));
+        let mut jobs: BTreeMap<String, Entry> = recent.map(|(job, entry)| (job.clone(), *entry)).collect();
+        for JobUsage { job, tokens } in usage {
             if *tokens == 0 {
                 jobs.remove(job);
                 continue;
@@ -255,80 +273,4 @@
         }
         jobs
     }
-
-    fn image(&self, shard: u16) -> ShardImage {
-        let job = |(job, entry): (&String, &Entry)| EntryImage {
-            job: job.clone(),
-            tokens: entry.tokens,
-            reserved_at: entry.reserved_at,
-            is_reported: entry.is_reported,
-        };
-        let jobs = self.jobs.iter().map(job).collect();
-        ShardImage { shard, reported: self.reported, reported_at: self.reported_at, jobs }
-    }
-
-    fn of(image: ShardImage) -> Self {
-        let entry = |image: EntryImage| {
-            let EntryImage { job, tokens, reserved_at, is_reported } = image;
-            (job, Entry { tokens, reserved_at, is_reported })
-        };
-        ShardAccount {
-            reported: image.reported,
-            reported_at: image.reported_at,
-            jobs: image.jobs.into_iter().map(entry).collect(),
-        }
-    }
-}
-
-/// A ledger as it stands in a snapshot.
-#[derive(DekuRead, DekuWrite)]
-#[deku(ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
-struct Image {
-    clock: Time,
-    #[deku(
-        reader = "wire::read_list(deku::reader, source)",
-        writer = "wire::write_list(deku::writer, routes)"
-    )]
-    routes: Vec<RouteImage>,
-}
-
-#[derive(DekuRead, DekuWrite)]
-#[deku(ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
-struct RouteImage {
-    #[deku(
-        reader = "wire::read_text(deku::reader, source)",
-        writer = "wire::write_bytes(deku::writer, route.as_bytes())"
-    )]
-    route: String,
-    #[deku(
-        reader = "wire::read_list(deku::reader, source)",
-        writer = "wire::write_list(deku::writer, shards)"
-    )]
-    shards: Vec<ShardImage>,
-}
-
-#[derive(DekuRead, DekuWrite)]
-#[deku(ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
-struct ShardImage {
-    shard: u16,
-    reported: UsageReportNumber,
-    reported_at: Time,
-    #[deku(
-        reader = "wire::read_list(deku::reader, source)",
-        writer = "wire::write_list(deku::writer, jobs)"
-    )]
-    jobs: Vec<EntryImage>,
-}
-
-#[derive(DekuRead, DekuWrite)]
-#[deku(ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
-struct EntryImage {
-    #[deku(
-        reader = "wire::read_text(deku::reader, source)",
-        writer = "wire::write_bytes(deku::writer, job.as_bytes())"
-    )]
-    job: String,
-    tokens: u64,
-    reserved_at: Time,
-    is_reported: bool,
 }
--- a/crates/batch/src/snapshot.rs
+++ b/crates/batch/src/snapshot.rs
@@ -14,7 +14,7 @@
 use crate::job::{BatchJob, BatchJobHeader};
 pub use crate::layout::CHUNK_BYTES;
 use crate::layout::{CHUNK_HEADER_LEN, TAG_LEN, group_header_len};
-use crate::wire::{self, Source};
+use crate::wire::{self, Source, read_list, read_shared_text, write_list, write_text};
 
 /// The version of this encoding.
 pub(crate) const VERSION: u16 = 1;
@@ -26,10 +26,7 @@
 #[deku(ctx = "source: Source<'_>", ctx_default = "Source::default()", endian = "little")]
 pub(crate) struct Chunk {
     pub number: u32,
-    #[deku(
-        reader = "wire::read_list(deku::reader, source)",
-        writer = "wire::write_list(deku::writer, records)"
-    )]
+    #[deku(reader = "read_list(deku::reader, source)", writer = "write_list(deku::writer, records)")]
     pub records: Vec<Record>,
 }
 
@@ -61,29 +58,17 @@
     /// The next items of a batch job.
     #[deku(id = 2)]
     Items {
-        #[deku(
-            reader = "wire::read_shared_text(deku::reader, source)",
-            writer = "wire::write_bytes(deku::writer, job.as_bytes())"
-        )]
+        #[deku(reader = "read_shared_text(deku::reader, source)", writer = "write_text(deku::writer, job)")]
         job: Arc<str>,
-        #[deku(
-            reader = "wire::read_list(deku::reader, source)",
-            writer = "wire::write_list(deku::writer, items)"
-        )]
+        #[deku(reader = "read_list(deku::reader, source)", writer = "write_list(deku::writer, items)")]
         items: Vec<ItemRecord>,
     },
     /// The next outputs of a batch job.
     #[deku(id = 3)]
     Outputs {
-        #[deku(
-            reader = "wire::read_shared_text(deku::reader, source)",
-            writer = "wire::write_bytes(deku::writer, job.as_bytes())"
-        )]
+        #[deku(reader = "read_shared_text(deku::reader, source)", writer = "write_text(deku::writer, job)")]
         job: Arc<str>,
-        #[deku(
-            reader = "wire::read_list(deku::reader, source)",
-            writer = "wire::write_list(deku::writer, outputs)"
-        )]
+        #[deku(reader = "read_list(deku::reader, source)", writer = "write_list(deku::writer, outputs)")]
         outputs: Vec<Output>,
     },
 }
--- a/crates/batch/src/text.rs
+++ b/crates/batch/src/text.rs
@@ -147,13 +147,19 @@
 }
 
 /// Reads a text in its stored encoding, as a slice of the source.
-pub fn read<R: Read + Seek>(reader: &mut Reader<R>, source: Source) -> Result<StoredText, DekuError> {
+pub fn read_stored_text<R: Read + Seek>(
+    reader: &mut Reader<R>,
+    source: Source,
+) -> Result<StoredText, DekuError> {
     let stored = wire::read_bytes(reader, source)?;
     StoredText::from_stored(stored).map_err(|_| wire::malformed("a stored text"))
 }
 
-/// Writes what [`read`] reads.
-pub fn write<W: Write + Seek>(writer: &mut Writer<W>, text: &StoredText) -> Result<(), DekuError> {
+/// Writes what [`read_stored_text`] reads.
+pub fn write_stored_text<W: Write + Seek>(
+    writer: &mut Writer<W>,
+    text: &StoredText,
+) -> Result<(), DekuError> {
     wire::write_bytes(writer, text.stored())
 }
 
--- a/crates/batch/src/wire.rs
+++ b/crates/batch/src/wire.rs
@@ -1,7 +1,9 @@
-//! How `deku` reads and writes texts, bytes and lists: a count (`u32`, little-endian) and what is counted.
-//! Bytes are read as slices of what is decoded, not copied; memory for a list is taken only as its contents
-//! arrive.
+//! Readers and writers for `deku` attributes, and whole values encoded and decoded by them.
+//!
+//! A text, bytes, a list or a map is a count (`u32`, little-endian) and what is counted. Bytes are read as slices of the buffer that is
+//! decoded, not copied. Lists grow as their contents arrive, so a forged count does not reserve memory.
 
+use std::collections::BTreeMap;
 use std::io::{Cursor, Read, Seek, SeekFrom, Write};
 use std::sync::Arc;
 
@@ -12,26 +14,30 @@
 /// Bytes of a count.
 pub const COUNT_LEN: usize = 4;
 
-/// What is decoded, for readers that slice it. Writers have none.
+/// The buffer that is decoded, for readers that slice it. Writers have none.
 #[derive(Clone, Copy, Default)]
 pub struct Source<'a>(Option<&'a Bytes>);
 
-pub fn encode(what: &impl DekuWriter, about: usize) -> Bytes {
-    let mut out = Cursor::new(Vec::with_capacity(about));
-    // Only a length over 4 GB or a failing sink makes an error, and there is neither.
-    what.to_writer(&mut Writer::new(&mut out), ()).expect("bytes in memory are written");
-    out.into_inner().into()
+/// Encodes a value, into a buffer of `capacity` bytes where that is enough.
+pub fn encode(value: &impl DekuWriter, capacity: usize) -> Bytes {
+    let mut buffer = Cursor::new(Vec::with_capacity(capacity));
+    value.to_writer(&mut Writer::new(&mut buffer), ()).expect("memory takes all, and no length is over 4 GB");
+    buffer.into_inner().into()
 }
 
-/// Reads all of the bytes as one `T`.
+/// Decodes all of the bytes as one value.
+///
+/// # Errors
+/// Where they are none, or more than one.
 pub fn decode<'a, T: for<'r> DekuReader<'r, Source<'a>>>(bytes: &'a Bytes) -> Result<T, DekuError> {
     let mut reader = Reader::new(Cursor::new(&bytes[..]));
-    let found = T::from_reader_with_ctx(&mut reader, Source(Some(bytes)))?;
-    if reader.end() { Ok(found) } else { Err(malformed("more bytes than one")) }
+    let value = T::from_reader_with_ctx(&mut reader, Source(Some(bytes)))?;
+    if reader.end() { Ok(value) } else { Err(malformed("more bytes than one")) }
 }
 
-pub fn malformed(what: &'static str) -> DekuError {
-    DekuError::Parse(what.into())
+/// An error that says what was not found.
+pub fn malformed(expected: &'static str) -> DekuError {
+    DekuError::Parse(expected.into())
 }
 
 fn read_count<R: Read + Seek>(reader: &mut Reader<R>) -> Result<usize, DekuError> {
@@ -43,7 +49,7 @@
     u32::try_from(count).map_err(|_| malformed("a count"))?.to_writer(writer, Endian::Little)
 }
 
-/// A slice of the source, past which the reader goes on.
+/// Reads bytes as a slice of the source.
 pub fn read_bytes<R: Read + Seek>(reader: &mut Reader<R>, source: Source) -> Result<Bytes, DekuError> {
     let count = read_count(reader)?;
     let Source(Some(source)) = source else { return Err(malformed("bytes of no source")) };
@@ -55,19 +61,20 @@
     Ok(source.slice(start..end))
 }
 
+/// Writes what [`read_bytes`] reads.
 pub fn write_bytes<W: Write + Seek>(writer: &mut Writer<W>, bytes: &[u8]) -> Result<(), DekuError> {
     write_count(writer, bytes.len())?;
     writer.write_bytes(bytes)
 }
 
-/// A copy: a text does not keep the source in memory.
+/// Reads a text as a copy, so that it does not keep the source in memory.
 pub fn read_text<R: Read + Seek>(reader: &mut Reader<R>, source: Source) -> Result<String, DekuError> {
     let bytes = read_bytes(reader, source)?;
     let text = str::from_utf8(&bytes).map_err(|_| malformed("a text that is not UTF-8"))?;
     Ok(text.to_owned())
 }
 
-/// A copy, as by [`read_text`].
+/// As [`read_text`], reference-counted.
 pub fn read_shared_text<R: Read + Seek>(
     reader: &mut Reader<R>,
     source: Source,
@@ -75,46 +82,81 @@
     read_text(reader, source).map(Arc::from)
 }
 
+/// Writes what [`read_text`] reads.
+pub fn write_text<W: Write + Seek>(writer: &mut Writer<W>, text: &impl AsRef<str>) -> Result<(), DekuError> {
+    write_bytes(writer, text.as_ref().as_bytes())
+}
+
+/// Reads a list.
 pub fn read_list<'a, R: Read + Seek, T: for<'r> DekuReader<'r, Source<'a>>>(
     reader: &mut Reader<R>,
     source: Source<'a>,
 ) -> Result<Vec<T>, DekuError> {
-    let count = read_count(reader)?;
-    let mut found = Vec::new();
-    for _ in 0..count {
-        found.push(T::from_reader_with_ctx(reader, source)?);
-    }
-    Ok(found)
+    read_each(reader, |reader| T::from_reader_with_ctx(reader, source))
 }
 
+/// Writes what [`read_list`] reads.
 pub fn write_list<W: Write + Seek>(
     writer: &mut Writer<W>,
     list: &[impl DekuWriter],
 ) -> Result<(), DekuError> {
     write_count(writer, list.len())?;
-    list.iter().try_for_each(|one| one.to_writer(writer, ()))
+    list.iter().try_for_each(|value| value.to_writer(writer, ()))
 }
 
-pub fn read_pairs<R: Read + Seek>(
+/// Reads a list of pairs of texts.
+pub fn read_text_pairs<R: Read + Seek>(
     reader: &mut Reader<R>,
     source: Source,
 ) -> Result<Vec<(String, String)>, DekuError> {
-    let count = read_count(reader)?;
-    let mut found = Vec::new();
-    for _ in 0..count {
-        found.push((read_text(reader, source)?, read_text(reader, source)?));
-    }
-    Ok(found)
+    read_each(reader, |reader| Ok((read_text(reader, source)?, read_text(reader, source)?)))
 }
 
-pub fn write_pairs<W: Write + Seek>(
+/// Writes what [`read_text_pairs`] reads.
+pub fn write_text_pairs<W: Write + Seek>(
     writer: &mut Writer<W>,
     pairs: &[(String, String)],
 ) -> Result<(), DekuError> {
     write_count(writer, pairs.len())?;
-    for (name, value) in pairs {
-        write_bytes(writer, name.as_bytes())?;
-        write_bytes(writer, value.as_bytes())?;
+    pairs.iter().try_for_each(|(name, value)| {
+        write_text(writer, name)?;
+        write_text(writer, value)
+    })
+}
+
+/// Reads a map: each key by `read_key`, followed by its value. Of equal keys the last one counts.
+pub fn read_map<'a, R: Read + Seek, K: Ord, V: for<'r> DekuReader<'r, Source<'a>>>(
+    reader: &mut Reader<R>,
+    source: Source<'a>,
+    read_key: impl Fn(&mut Reader<R>, Source<'a>) -> Result<K, DekuError>,
+) -> Result<BTreeMap<K, V>, DekuError> {
+    let entries = read_each(reader, |reader| {
+        Ok((read_key(reader, source)?, V::from_reader_with_ctx(reader, source)?))
+    })?;
+    Ok(entries.into_iter().collect())
+}
+
+/// Writes what [`read_map`] reads.
+pub fn write_map<W: Write + Seek, K>(
+    writer: &mut Writer<W>,
+    map: &BTreeMap<K, impl DekuWriter>,
+    write_key: impl Fn(&mut Writer<W>, &K) -> Result<(), DekuError>,
+) -> Result<(), DekuError> {
+    write_count(writer, map.len())?;
+    map.iter().try_for_each(|(key, value)| {
+        write_key(writer, key)?;
+        value.to_writer(writer, ())
+    })
+}
+
+fn read_each<R: Read + Seek, T>(
+    reader: &mut Reader<R>,
+    read: impl Fn(&mut Reader<R>) -> Result<T, DekuError>,
+) -> Result<Vec<T>, DekuError> {
+    let count = read_count(reader)?;
+    let mut values = Vec::new();
+    for _ in 0..count {
+        values.push(read(reader)?);
     }
-    Ok(())
+    Ok(values)
 }
--- a/crates/batch/tests/format.rs
+++ b/crates/batch/tests/format.rs
@@ -104,7 +104,7 @@
 
 #[test]
 fn given_texts_that_are_stored_then_their_bytes_are_the_committed_ones_and_are_read_again() {
-    let texts = ["".to_owned(), "short".to_owned(), LONG_OUTPUT.repeat(20)];
+    let texts = [String::new(), "short".to_owned(), LONG_OUTPUT.repeat(20)];
     let stored =
         |text: &String| ("stored text".to_owned(), StoredText::new(text.as_bytes()).stored().clone());
     let committed = fixture::pin("texts", &texts.iter().map(stored).collect::<Vec<_>>());
