--- a/crates/batch/tests/outside.rs
+++ b/crates/batch/tests/outside.rs
@@ -5,7 +5,7 @@
 #[path = "../../../tests/common/keys.rs"]
 mod keys;
 
-use rainlug_batch::read_requests;
+use rainlug_batch::parse_submission;
 use serde_json::{Value, json};
 
 fn submission() -> Value {
@@ -14,7 +14,7 @@
 }
 
 fn said(text: &Value) -> String {
-    match read_requests(text.to_string().as_bytes()) {
+    match parse_submission(text.to_string().as_bytes()) {
         Ok(items) => {
             let line = |i: &rainlug_batch::Item| {
                 format!("{} {} {:?} {:?} {}", i.id, i.path, i.headers, i.body, i.token_count)
