--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,63 +1,88 @@
-//! Agreement of a small group on a sequence of commands, by ballots: one replica of one part of the tier's state. Raft (Ongaro
-//! and Ousterhout 2014) with pre-votes, a leader that steps down when it hears no quorum, reads confirmed by a round, snapshots,
-//! and changes of the group in one entry that needs majorities of the old and the new group. A member is a disk: who comes back
-//! without it has a new id, and votes only once the group has taken that id in.
-//! No I/O: time, chance, messages and what the disk has saved are handed in; messages, records and commands are handed out.
+//! Raft consensus, without I/O: one replica of one shard of the tier's state.
+//!
+//! A [`Replica`] is a state machine of its own. Time, randomness, messages of other members and what the disk has synced are passed
+//! in; messages, records for the disk and committed commands come out as a [`Ready`]. So the tests run whole groups on a virtual
+//! clock, and the processes drive it from one thread.
+//!
+//! It follows Ongaro's thesis (*Consensus: Bridging Theory and Practice*, 2014; "Raft" with a section number in comments), with:
+//!
+//! - pre-votes (Raft 9.6), and a leader that steps down once it has no contact with a quorum (Raft 6.2);
+//! - reads that a round of heartbeats confirms (read index, Raft 6.4);
+//! - snapshots that are sent, written and restored chunk by chunk (Raft 5);
+//! - changes of the replica set in one entry, which needs quorums of the old and the new set (after Raft 4.3);
+//! - fenced disks, that have no part in breaking the tie of an even replica set ([`Quorums`]);
+//! - a minimum of disks that an entry must be on, beside a majority ([`Settings::min_replicas`]).
+//!
+//! A member is a disk: a process that comes back without its disk is a member with a new id, and votes only once the replica set has
+//! taken that id in.
 
+#![warn(missing_docs)]
+
+mod entry;
 mod log;
+mod message;
+mod progress;
 mod quorum;
+mod ready;
 mod records;
 mod replica;
-mod state;
+mod snapshot;
 mod wire;
 
 use std::net::SocketAddr;
 
-use bytes::Bytes;
 use quick_error::quick_error;
 pub use quorum::Quorums;
 pub use rainlug::Time;
+pub use ready::{Ready, Rewrite};
 pub use records::Records;
 pub use replica::{MAX_APPLY_BYTES, MAX_APPLY_ENTRIES, Replica};
-pub use state::{InMemoryState, RestoreStep, SnapshotSource};
+pub use snapshot::{InMemoryState, RestoreStep, SnapshotSource};
 
 /// A disk's identity, drawn when it is first used.
 pub type MemberId = u64;
+/// The number of an election; at most one leader has it (Raft 3.3).
 pub type Term = u64;
+/// The position of an entry in the log, from 1.
 pub type Index = u64;
 
+/// A member of a replica set.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Member {
+    /// The disk's identity.
     pub id: MemberId,
+    /// The process's name, for operators.
     pub name: String,
+    /// The failure domain that it is in.
     pub zone: String,
-    /// Where its process hears its peers.
+    /// Where its process listens for its peers.
     pub address: SocketAddr,
 }
 
-/// Figures of a group. Times in microseconds.
+/// Settings of a replica; the same for all members of a shard. Times in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Between two signs of life of a leader.
+    /// Time between two heartbeats of a leader.
     pub heartbeat_interval: Time,
-    /// The least time without one after which a member stands; up to twice that, drawn.
+    /// The shortest time without contact to a leader after which a member campaigns; it draws from there up to twice that.
     pub election_timeout: Time,
-    /// Disks on which an entry must be, beside a majority, to be committed.
+    /// Disks that an entry must be on, beside those of a majority, to be committed.
     pub min_replicas: usize,
-    /// Bytes of entries in one message, at most.
+    /// Bytes of entries in one message, at most; a single entry may be longer.
     pub max_message_bytes: usize,
-    /// Bytes of entries on the disk since the last snapshot after which the next one is asked for.
+    /// Bytes of entries applied since the last snapshot after which the next one is asked for.
     pub compaction_threshold_bytes: usize,
-    /// Bytes of entries that a leader keeps in memory for a follower that lacks them.
+    /// Bytes of entries that a leader keeps in memory for followers that lack them.
     pub max_lag_bytes: usize,
 }
 
 quick_error! {
+    /// Why a replica does not take a proposal or answer a read.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ProposeError {
-        /// Not the leader; who is, where known.
+        /// This member is not the leader; who is, where known.
         NotLeader(leader: Option<Member>) { display("not the leader") }
-        /// A change of the group is under way, or this leader has committed nothing yet.
+        /// A change of the replica set is not committed yet, or the proposed one differs by more than one member.
         ChangeInProgress { display("a change of the group is under way") }
     }
 }
@@ -65,49 +90,17 @@
 /// How far a member is behind its leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicationLag {
+    /// The member.
     pub member: MemberId,
     /// Entries of the leader's log that it is not known to have on its disk.
     pub entries: u64,
 }
 
 quick_error! {
+    /// Bytes of a message or record that cannot be read.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum DecodeError {
+        /// What cannot be read.
         Malformed(what: &'static str) { display("malformed: {}", what) }
     }
 }
-
-/// Records that replace all earlier ones of a replica.
-#[derive(Clone, Debug)]
-pub struct Rewrite {
-    /// Once they are on the disk: `persisted(ticket)`.
-    pub ticket: u64,
-    pub records: Records,
-    /// They follow from what the disk holds already: the rewrite may be left undone, and the ticket is saved with those before it.
-    pub is_implied: bool,
-}
-
-/// What a replica wants done. Taken with [`Replica::take_ready`].
-#[derive(Clone, Debug, Default)]
-pub struct Ready {
-    /// To other members: to be delivered whole and in order, or not at all.
-    pub messages: Vec<(Member, Bytes)>,
-    /// Records to be appended to the disk and synced, in order; then `persisted(ticket)`. Later tickets cover earlier ones.
-    pub records: Vec<(u64, Bytes)>,
-    /// Records to replace all earlier ones of this replica; then `persisted(ticket)`. `save` in the same output comes after it.
-    pub rewrite: Option<Rewrite>,
-    /// Steps of replacing the whole state of the state machine, in order. The state in force goes on until the last of them, and
-    /// `committed` in an earlier output is for it.
-    pub restore: Vec<RestoreStep>,
-    /// Committed commands in order, each once; they come after what is to be restored.
-    pub committed: Vec<(Index, Bytes)>,
-    /// Reads that may be answered from the state machine now (all committed before they were asked is in it), or not.
-    pub reads: Vec<(u64, Result<(), ProposeError>)>,
-    /// Something about who leads, or who is a member, has changed.
-    pub has_status_changed: bool,
-    /// The state machine should call `snapshot`; or `postpone_snapshot`, unless a member needs it. Not before all that was taken
-    /// is applied, and nothing is left to be handed out.
-    pub needs_compaction: bool,
-    /// A member needs the snapshot that is asked for.
-    pub needs_snapshot: bool,
-}
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,169 +1,149 @@
-//! A replica's log in memory: entries behind a base, and the groups that they name.
+//! A replica's log in memory: the entries after a base, and the replica sets that they name.
+//!
+//! The base is the newest entry that is not in memory any more; the disk or a snapshot has what precedes.
 
 use std::collections::VecDeque;
-use std::sync::Arc;
 
-use bytes::Bytes;
-
-use crate::state::SnapshotSource;
-use crate::wire::read_group;
+use crate::entry::{Entry, LogPosition, ReplicaSet, ReplicaSetChange};
 use crate::{Index, Member, Term};
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EntryKind {
-    Noop = 0,
-    Command = 1,
-    ReplicaSet = 2,
-}
-
-#[derive(Clone, Debug)]
-pub struct Entry {
-    pub term: Term,
-    pub kind: EntryKind,
-    pub data: Bytes,
-}
-
-impl Entry {
-    /// With what it takes beside its content, in bytes.
-    pub fn weight(&self) -> usize {
-        self.data.len() + 32
-    }
-}
-
-/// A change of the group, or the group as of a snapshot.
-#[derive(Clone, Debug)]
-pub struct Group {
-    pub index: Index,
-    pub before: Vec<Member>,
-    pub after: Vec<Member>,
-}
-
-#[derive(Clone)]
-pub struct Snapshot {
-    pub index: Index,
-    pub term: Term,
-    pub group: Vec<Member>,
-    /// While it is needed in memory: while it is sent.
-    pub state: Option<Source>,
-}
-
-/// A state to be sent.
-#[derive(Clone)]
-pub struct Source {
-    /// No two states that a replica sends in one life have the same: pieces of one are never taken for another's.
-    pub number: u64,
-    pub state: Arc<dyn SnapshotSource>,
-}
-
 /// An entry in memory.
 #[derive(Clone)]
-struct Kept {
+struct LogEntry {
     entry: Entry,
-    /// Weight of all entries that the log has had, up to this one: so no weight is ever summed up anew.
-    weight_to: usize,
+    /// Bytes of all entries that the log has had, up to this one: so that no sum is ever taken over the entries.
+    total_bytes: usize,
 }
 
+/// The entries in memory, and the replica sets that they name.
 #[derive(Clone)]
 pub struct Log {
-    /// Index and term of the entry before the first in memory.
-    base: (Index, Term),
-    /// Weight of all entries up to there.
-    base_weight: usize,
-    entries: VecDeque<Kept>,
-    /// The newest is `group`; these are older ones that may come back, by index.
-    older: Vec<Group>,
-    group: Group,
+    /// The entry before the first in memory.
+    base: LogPosition,
+    /// Bytes of all entries up to there.
+    base_bytes: usize,
+    entries: VecDeque<LogEntry>,
+    /// Replica sets before the newest, by index: a truncation may bring them back.
+    earlier_replica_sets: Vec<ReplicaSet>,
+    replica_set: ReplicaSet,
 }
 
 impl Log {
-    pub fn new(index: Index, term: Term, group: Vec<Member>) -> Self {
-        let group = Group { index, before: vec![], after: group };
-        Self { base: (index, term), base_weight: 0, entries: VecDeque::new(), older: vec![], group }
+    /// A log without entries after `base`, where the replica set is `members`.
+    pub fn new(base: LogPosition, members: Vec<Member>) -> Self {
+        let replica_set = ReplicaSet { index: base.index, previous: vec![], members };
+        Self { base, base_bytes: 0, entries: VecDeque::new(), earlier_replica_sets: vec![], replica_set }
     }
+
     /// Bytes that its entries take in memory.
-    pub fn weight(&self) -> usize {
-        self.weight_to(self.last()) - self.base_weight
-    }
-    /// Weight of the entries behind this one.
-    pub fn weight_after(&self, index: Index) -> usize {
-        self.weight_to(self.last()) - self.weight_to(index.min(self.last()))
+    pub fn bytes(&self) -> usize {
+        self.bytes_up_to(self.last_index()) - self.base_bytes
     }
-    /// Weight of all entries up to this one, also those that are not in memory any more.
-    fn weight_to(&self, index: Index) -> usize {
-        self.kept(index).map_or(self.base_weight, |kept| kept.weight_to)
+
+    /// Bytes that the entries after this index take in memory.
+    pub fn bytes_after(&self, index: Index) -> usize {
+        self.bytes_up_to(self.last_index()) - self.bytes_up_to(index.min(self.last_index()))
     }
-    fn kept(&self, index: Index) -> Option<&Kept> {
-        let place = index.checked_sub(self.base.0 + 1)?;
-        self.entries.get(usize::try_from(place).ok()?)
+
+    /// Bytes of all entries up to this index, also of those that are not in memory any more.
+    fn bytes_up_to(&self, index: Index) -> usize {
+        self.log_entry(index).map_or(self.base_bytes, |entry| entry.total_bytes)
     }
-    pub fn base(&self) -> Index {
-        self.base.0
+
+    fn log_entry(&self, index: Index) -> Option<&LogEntry> {
+        let offset = index.checked_sub(self.base.index + 1)?;
+        self.entries.get(usize::try_from(offset).ok()?)
     }
-    pub fn last(&self) -> Index {
-        self.base.0 + self.entries.len() as u64
+
+    /// The index of the entry before the first in memory.
+    pub fn base_index(&self) -> Index {
+        self.base.index
     }
-    pub fn last_term(&self) -> Term {
-        self.entries.back().map_or(self.base.1, |kept| kept.entry.term)
+
+    /// The index of the last entry.
+    pub fn last_index(&self) -> Index {
+        self.base.index + self.entries.len() as u64
     }
-    pub fn group(&self) -> &Group {
-        &self.group
+
+    /// Where the log ends.
+    pub fn last(&self) -> LogPosition {
+        let term = self.entries.back().map_or(self.base.term, |last| last.entry.term);
+        LogPosition { term, index: self.last_index() }
     }
+
+    /// The entry at this index; none where it is not in memory.
     pub fn get(&self, index: Index) -> Option<&Entry> {
-        self.kept(index).map(|kept| &kept.entry)
+        self.log_entry(index).map(|entry| &entry.entry)
     }
-    /// None where it is not in memory.
-    pub fn term(&self, index: Index) -> Option<Term> {
-        if index == self.base.0 { Some(self.base.1) } else { self.get(index).map(|entry| entry.term) }
+
+    /// The term of the entry at this index; none where it is not in memory.
+    pub fn term_at(&self, index: Index) -> Option<Term> {
+        if index == self.base.index { Some(self.base.term) } else { self.get(index).map(|entry| entry.term) }
+    }
+
+    /// The position of the entry at this index; none where it is not in memory.
+    pub fn position(&self, index: Index) -> Option<LogPosition> {
+        self.term_at(index).map(|term| LogPosition { term, index })
     }
-    /// The newest index up to `index` of a term no newer than `term`; the base where none in memory is.
-    pub fn common(&self, index: Index, term: Term) -> Index {
-        let mut at = index.min(self.last());
-        while at > self.base.0 && self.term(at).is_some_and(|own| own > term) {
-            at -= 1;
+
+    /// Where logs may part at the latest: the newest index up to `hint.index` of a term no newer than `hint.term`; the base where no
+    /// entry in memory is.
+    pub fn newest_common_index(&self, hint: LogPosition) -> Index {
+        let mut index = hint.index.min(self.last_index());
+        while index > self.base.index && self.term_at(index).is_some_and(|term| term > hint.term) {
+            index -= 1;
         }
-        at
+        index
     }
-    pub fn push(&mut self, entry: Entry) {
-        if entry.kind == EntryKind::ReplicaSet
-            && let Ok((before, after)) = read_group(&entry.data)
-        {
-            let group = Group { index: self.last() + 1, before, after };
-            self.older.push(std::mem::replace(&mut self.group, group));
+
+    /// The newest replica set.
+    pub fn replica_set(&self) -> &ReplicaSet {
+        &self.replica_set
+    }
+
+    /// The replica set as of a committed index.
+    pub fn replica_set_at(&self, index: Index) -> &ReplicaSet {
+        if self.replica_set.index <= index {
+            return &self.replica_set;
+        }
+        self.earlier_replica_sets.iter().rev().find(|set| set.index <= index).unwrap_or(&self.replica_set)
+    }
+
+    /// Appends an entry; `change` is its content where it changes the replica set.
+    pub fn push(&mut self, entry: Entry, change: Option<ReplicaSetChange>) {
+        if let Some(ReplicaSetChange { previous, members }) = change {
+            let newest = ReplicaSet { index: self.last_index() + 1, previous, members };
+            self.earlier_replica_sets.push(std::mem::replace(&mut self.replica_set, newest));
         }
-        let weight_to = self.weight_to(self.last()) + entry.weight();
-        self.entries.push_back(Kept { entry, weight_to });
+        let total_bytes = self.bytes_up_to(self.last_index()) + entry.memory_bytes();
+        self.entries.push_back(LogEntry { entry, total_bytes });
     }
-    /// Drops what is behind `index`.
+
+    /// Drops what follows `index`.
     pub fn truncate(&mut self, index: Index) {
-        let kept = usize::try_from(index.saturating_sub(self.base.0)).unwrap_or(usize::MAX);
+        let kept = usize::try_from(index.saturating_sub(self.base.index)).unwrap_or(usize::MAX);
         self.entries.truncate(kept);
-        while self.group.index > index
-            && let Some(group) = self.older.pop()
+        while self.replica_set.index > index
+            && let Some(earlier) = self.earlier_replica_sets.pop()
         {
-            self.group = group;
+            self.replica_set = earlier;
         }
     }
-    /// The group as of a committed index.
-    pub fn group_at(&self, index: Index) -> &Group {
-        if self.group.index <= index {
-            return &self.group;
-        }
-        self.older.iter().rev().find(|group| group.index <= index).unwrap_or(&self.group)
-    }
-    /// Drops entries up to `index` but a tail of this weight; `index` is committed.
-    pub fn compact(&mut self, index: Index, tail: usize) {
-        if index <= self.base.0 {
+
+    /// Drops entries up to `index`, which is committed, but for a tail of `tail_bytes`.
+    pub fn compact(&mut self, index: Index, tail_bytes: usize) {
+        if index <= self.base.index {
             return;
         }
-        let most = self.weight_to(index);
-        while self.base.0 < index
-            && most - self.base_weight > tail
-            && let Some(Kept { entry, weight_to }) = self.entries.pop_front()
+        let bytes = self.bytes_up_to(index);
+        while self.base.index < index
+            && bytes - self.base_bytes > tail_bytes
+            && let Some(LogEntry { entry, total_bytes }) = self.entries.pop_front()
         {
-            self.base = (self.base.0 + 1, entry.term);
-            self.base_weight = weight_to;
+            self.base = LogPosition { term: entry.term, index: self.base.index + 1 };
+            self.base_bytes = total_bytes;
         }
-        let current = self.group_at(index).index;
-        self.older.retain(|group| group.index >= current);
+        let current = self.replica_set_at(index).index;
+        self.earlier_replica_sets.retain(|set| set.index >= current);
     }
 }
--- a/crates/consensus/src/records.rs
+++ b/crates/consensus/src/records.rs
@@ -1,15 +1,15 @@
-//! The records of a snapshot and of what follows it, each encoded when it is asked for.
+//! All records of a replica, for a rewrite: those of a snapshot and of what follows it, each encoded when it is asked for.
 
 use std::fmt;
 use std::sync::Arc;
 
 use bytes::Bytes;
 
-use crate::log::Entry;
-use crate::state::SnapshotSource;
+use crate::entry::Entry;
+use crate::snapshot::SnapshotSource;
 use crate::{Index, wire};
 
-/// The pieces of a snapshot's state, as records.
+/// The chunks of a snapshot's state, as records.
 #[derive(Clone)]
 pub(crate) enum ChunkRecords {
     /// Encoded from the state of this process.
@@ -19,6 +19,7 @@
 }
 
 impl ChunkRecords {
+    /// How many there are.
     pub(crate) fn count(&self) -> usize {
         match self {
             ChunkRecords::Encoded(state) => state.chunks(),
@@ -36,55 +37,62 @@
         }
     }
 
+    /// Bytes of all of them together.
     fn size(&self) -> u64 {
         match self {
             ChunkRecords::Encoded(state) => {
-                state.size() + (state.chunks() * wire::CHUNK_RECORD_HEADER) as u64
+                state.size() + (state.chunks() * wire::CHUNK_RECORD_HEADER_BYTES) as u64
             }
             ChunkRecords::Received(records) => records.iter().map(|record| record.len() as u64).sum(),
         }
     }
 }
 
-/// All records of a replica: its snapshot and what follows it. They can be walked over any number of times; one at a time is in
-/// memory beside what the state machine and the log hold.
+/// All records of a replica: its snapshot and what follows it.
+///
+/// They can be iterated over any number of times. One at a time is in memory, beside what the state machine and the log hold.
 #[derive(Clone)]
 pub struct Records {
+    /// The beginning of the snapshot.
     pub(crate) snapshot: Bytes,
+    /// The chunks of the snapshot.
     pub(crate) chunks: ChunkRecords,
+    /// Term and vote.
     pub(crate) hard_state: Bytes,
-    pub(crate) first: Index,
-    /// From `first` on.
+    /// The index of the first of `entries`.
+    pub(crate) first_index: Index,
+    /// The entries after the snapshot.
     pub(crate) entries: Vec<Entry>,
-    pub(crate) settled: Option<Bytes>,
-    /// Where this member gave up a log.
+    /// That a replica set entry after the snapshot is committed.
+    pub(crate) membership_committed: Option<Bytes>,
+    /// Where a log ended that this member dropped.
     pub(crate) vote_floor: Option<Bytes>,
 }
 
 impl Records {
     /// How many there are.
     pub fn count(&self) -> usize {
-        2 + self.chunks.count() + self.entries.len() + self.last_records().count()
+        2 + self.chunks.count() + self.entries.len() + self.trailing_records().count()
     }
 
-    /// What follows the entries.
-    fn last_records(&self) -> impl Iterator<Item = &Bytes> {
-        self.settled.iter().chain(&self.vote_floor)
+    /// The records after the entries.
+    fn trailing_records(&self) -> impl Iterator<Item = &Bytes> {
+        self.membership_committed.iter().chain(&self.vote_floor)
     }
 
-    /// How many of the first stand for the snapshot: its head and its pieces.
+    /// How many of the first ones are the snapshot: its beginning and its chunks.
     pub fn snapshot_count(&self) -> usize {
         1 + self.chunks.count()
     }
 
-    /// A record, encoded now; none behind the last one.
+    /// The record of this number, from 0, encoded now; none after the last one.
     pub fn record(&self, number: usize) -> Option<Bytes> {
-        let Some(place) = number.checked_sub(1) else { return Some(self.snapshot.clone()) };
-        let Some(place) = place.checked_sub(self.chunks.count()) else { return self.chunks.record(place) };
-        let Some(place) = place.checked_sub(1) else { return Some(self.hard_state.clone()) };
-        match self.entries.get(place) {
-            Some(entry) => Some(wire::entry_record(self.first + place as u64, entry)),
-            None => self.last_records().nth(place - self.entries.len()).cloned(),
+        let Some(offset) = number.checked_sub(1) else { return Some(self.snapshot.clone()) };
+        let Some(offset) = offset.checked_sub(self.chunks.count()) else { return self.chunks.record(offset) };
+        let Some(offset) = offset.checked_sub(1) else { return Some(self.hard_state.clone()) };
+        match self.entries.get(offset) {
+            Some(entry) => Some(wire::entry_record(self.first_index + offset as u64, entry)),
+            None => self.trailing_records().nth(offset - self.entries.len()).cloned(),
         }
     }
 
@@ -95,16 +103,16 @@
 
     /// Bytes of all records together.
     pub fn size(&self) -> u64 {
-        let entries: usize =
-            self.entries.iter().map(|entry| wire::ENTRY_RECORD_HEAD + entry.data.len()).sum();
-        let last: usize = self.last_records().map(Bytes::len).sum();
-        let others = self.snapshot.len() + self.hard_state.len() + last;
+        let entry_bytes = |entry: &Entry| wire::ENTRY_RECORD_HEADER_BYTES + entry.data.len();
+        let entries: usize = self.entries.iter().map(entry_bytes).sum();
+        let trailing: usize = self.trailing_records().map(Bytes::len).sum();
+        let others = self.snapshot.len() + self.hard_state.len() + trailing;
         self.chunks.size() + (entries + others) as u64
     }
 }
 
 impl fmt::Debug for Records {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.debug_struct("Records").field("count", &self.count()).field("size", &self.size()).finish()
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.debug_struct("Records").field("count", &self.count()).field("size", &self.size()).finish()
     }
 }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,34 +1,40 @@
-//! Raft's rules, for one replica.
+//! One member's replica of one shard: Raft's rules. The modules below are Raft's own concerns, one each; this one has the state that
+//! they share, and drives them.
 
+mod apply;
+mod commit;
+mod compaction;
 mod election;
 mod entries;
-mod group;
-mod handing_out;
-mod install;
-mod memory;
-mod receiving;
+mod membership;
+mod persistence;
+mod read_index;
+mod receive;
 mod recovery;
-mod sending;
-mod vacating;
+mod replication;
+mod snapshot_transfer;
+mod tombstone;
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use bytes::Bytes;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-pub use self::handing_out::{MAX_APPLY_BYTES, MAX_APPLY_ENTRIES};
-use crate::log::{EntryKind, Log, Snapshot, Source};
-use crate::records::ChunkRecords;
-use crate::state::{RestoreStep, SnapshotSource};
-use crate::{Index, Member, MemberId, ProposeError, Ready, ReplicationLag, Settings, Term, Time, wire};
-
-/// Messages with entries on their way to one follower, at most.
-const MOST_IN_FLIGHT: usize = 8;
-/// Entries in one message, at most.
-const MOST_ENTRIES: usize = 1024;
+use self::apply::Application;
+pub use self::apply::{MAX_APPLY_BYTES, MAX_APPLY_ENTRIES};
+use self::compaction::Compaction;
+use self::persistence::Persistence;
+use self::read_index::Reads;
+use self::snapshot_transfer::IncomingSnapshot;
+use crate::entry::{EntryKind, LogPosition};
+use crate::log::Log;
+use crate::progress::Progress;
+use crate::snapshot::Snapshot;
+use crate::{Index, Member, MemberId, ProposeError, Ready, ReplicationLag, Settings, Term, Time};
 
+/// A member's part in an election (Raft 3.3, with the pre-candidate of Raft 9.6).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     Follower,
@@ -37,279 +43,159 @@
     Leader,
 }
 
-/// How a follower is fed.
-#[derive(Clone)]
-enum Flow {
-    /// Asks where the logs part, by messages without entries.
-    Probe { asked: bool },
-    /// The newest index of each message on its way, and its bytes.
-    Replicate { in_flight: VecDeque<(Index, usize)> },
-    /// A piece at a time: when the one under way was sent, and how long it may take before it is sent again.
-    Snapshot { snapshot: Arc<Snapshot>, source: Source, number: usize, sent: Option<Time>, patience: Time },
-}
-
-/// A piece of a snapshot is sent again after this many times what the one before has taken.
-const PATIENCE_FACTOR: Time = 4;
-/// A piece of a snapshot is sent again after this many election times at the latest.
-const MOST_PATIENCE: Time = 16;
-
-impl Settings {
-    /// The longest wait for the answer to a piece of a snapshot before it is sent again.
-    fn most_patience(&self) -> Time {
-        MOST_PATIENCE * self.election_timeout
-    }
-}
-
-#[derive(Clone)]
-struct Progress {
-    member: Member,
-    /// On its disk, up to here.
-    matched: Index,
-    next: Index,
-    flow: Flow,
-    /// Up to here it knows, on its disk, that all changes of the group are committed.
-    settled: Index,
-    heard: Time,
-    /// The newest round that it has answered.
-    round: u64,
-    commit_sent: Index,
-    /// Bytes of entries kept for it beside `lag_bytes`: what may come while a snapshot is on its way, until it has those too.
-    allowance: usize,
-}
-
-impl Progress {
-    fn new(member: Member, next: Index, flow: Flow, now: Time) -> Self {
-        Self {
-            member,
-            matched: 0,
-            settled: 0,
-            next,
-            flow,
-            heard: now,
-            round: 0,
-            commit_sent: 0,
-            allowance: 0,
-        }
-    }
-}
-
-#[derive(Clone)]
-struct Read {
-    ticket: u64,
-    round: u64,
-    index: Index,
-}
-
-/// A snapshot that comes in pieces.
-#[derive(Clone)]
-struct Incoming {
-    leader: MemberId,
-    term: Term,
-    index: Index,
-    /// Which of the leader's states it is.
-    source: u64,
-    chunks: u32,
-    /// The records of the pieces so far: the bytes that came, which the state machine has been handed too.
-    records: Vec<Bytes>,
-}
-
-/// What [`Output::changed`] tells of.
+/// What [`Ready::has_status_changed`] is about.
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct Observed {
+struct Status {
     leader: Option<MemberId>,
-    leads: bool,
-    group: Index,
-    settled: bool,
+    is_serving_leader: bool,
+    replica_set_index: Index,
+    is_replica_set_committed: bool,
 }
 
-/// One member's replica of one part.
+/// One member's replica of one shard.
 #[derive(Clone)]
 pub struct Replica {
-    me: Member,
+    local_member: Member,
     settings: Settings,
     rng: ChaCha8Rng,
-    /// Of the newest call.
+    /// The time of the newest call.
     now: Time,
+
+    /// The newest term that it knows.
+    term: Term,
+    /// Whom it voted for in that term.
+    voted_for: Option<MemberId>,
+    /// The end of a log that it dropped; it votes for none that ends before.
+    vote_floor: LogPosition,
+
     role: Role,
     leader: Option<Member>,
-    /// When a leader of this term last gave a sign of life.
-    leader_heard: Option<Time>,
-    /// When to stand.
-    deadline: Time,
-    term: Term,
-    voted: Option<MemberId>,
-    /// Term and index of the end of a log that it gave up; it votes for none that ends before.
-    vote_floor: (Term, Index),
-    /// Of the newest record of term and vote.
-    hard_ticket: u64,
+    /// When a leader of this term was last heard from.
+    last_leader_contact: Option<Time>,
+    /// When to campaign.
+    election_deadline: Time,
+    /// Who voted for it, in the campaign that runs.
+    votes: BTreeSet<MemberId>,
+
     log: Log,
     snapshot: Arc<Snapshot>,
-    commit: Index,
-    /// Given to the state machine, up to here; where something is to be restored, once it has that.
-    applied: Index,
-    /// To be given to the state machine first.
-    restoring: VecDeque<RestoreStep>,
-    /// Group entries up to here are known to be committed, also where `commit` is not yet.
-    settled: Index,
-    /// Of the newest record of that.
-    settled_ticket: u64,
-    /// Saved in this log, up to here.
-    stable: Index,
-    /// Tickets under way, and up to where they make the log stable.
-    unsaved: VecDeque<(u64, Index)>,
-    ticket: u64,
-    saved: u64,
-    /// The founding group is among the records.
-    founded: bool,
-    /// Weight of the entries given to the state machine since the snapshot.
-    weight: usize,
-    compact_asked: bool,
-    /// States that were to be sent, so far.
-    sources: u64,
-    /// A follower needs entries that are not in memory any more.
-    state_wanted: bool,
-    votes: BTreeSet<MemberId>,
-    /// Disks that another group has decided have no part in breaking a tie; only added to.
+    commit_index: Index,
+    /// Replica set entries up to here are known to be committed, also where `commit_index` is not there yet.
+    membership_commit_index: Index,
+    /// Disks that another shard has decided have no part in breaking a tie; only added to.
     fenced: BTreeSet<MemberId>,
+    incoming_snapshot: Option<IncomingSnapshot>,
+
+    persistence: Persistence,
+    application: Application,
+    compaction: Compaction,
+
+    /// A leader's knowledge of the other members.
     progress: BTreeMap<MemberId, Progress>,
-    /// A leader's first entry.
-    first: Index,
-    heartbeat_due: Time,
-    quorum_due: Time,
-    /// Everyone gets a message at the next `take`.
-    broadcast_pending: bool,
-    round: u64,
-    round_wanted: bool,
-    reads: Vec<Read>,
-    incoming: Option<Incoming>,
-    /// Messages that must not go before a ticket is saved.
-    held: VecDeque<(u64, Member, Bytes)>,
-    output: Ready,
-    seen: Observed,
+    /// The index of a leader's first entry.
+    first_index_of_term: Index,
+    /// When a leader sends its next heartbeat.
+    heartbeat_deadline: Time,
+    /// When a leader steps down unless it has contact with a quorum.
+    quorum_deadline: Time,
+    /// Every follower gets a message at the next [`Replica::take_ready`].
+    is_broadcast_pending: bool,
+    reads: Reads,
+
+    ready: Ready,
+    /// As of the newest [`Replica::take_ready`].
+    last_status: Status,
 }
 
 impl Replica {
-    /// A member with nothing saved. `founding` is the first group, the same for all its members; empty for one that waits to be
-    /// taken in.
-    pub fn new(me: Member, founding: Vec<Member>, settings: Settings, seed: u64, now: Time) -> Self {
-        let rng = ChaCha8Rng::seed_from_u64(seed ^ me.id.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let snapshot = Snapshot { index: 0, term: 0, group: founding.clone(), state: None };
+    /// A member with nothing on its disk. `founding` is the first replica set, the same for all its members; empty for a member that
+    /// waits to be added. Times are in microseconds.
+    pub fn new(
+        local_member: Member,
+        founding: Vec<Member>,
+        settings: Settings,
+        seed: u64,
+        now: Time,
+    ) -> Self {
+        let rng = ChaCha8Rng::seed_from_u64(seed ^ local_member.id.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let base = LogPosition::default();
+        let snapshot = Snapshot { position: base, members: founding.clone(), source: None };
         let mut replica = Self {
-            me,
+            local_member,
             settings,
             rng,
             now,
+            term: 0,
+            voted_for: None,
+            vote_floor: LogPosition::default(),
             role: Role::Follower,
             leader: None,
-            leader_heard: None,
-            deadline: now,
-            term: 0,
-            voted: None,
-            vote_floor: (0, 0),
-            hard_ticket: 0,
-            log: Log::new(0, 0, founding),
-            snapshot: Arc::new(snapshot),
-            commit: 0,
-            applied: 0,
-            restoring: VecDeque::new(),
-            settled: 0,
-            settled_ticket: 0,
-            stable: 0,
-            unsaved: VecDeque::new(),
-            ticket: 0,
-            saved: 0,
-            founded: false,
-            weight: 0,
-            compact_asked: false,
-            sources: 0,
-            state_wanted: false,
+            last_leader_contact: None,
+            election_deadline: now,
             votes: BTreeSet::new(),
+            log: Log::new(base, founding),
+            snapshot: Arc::new(snapshot),
+            commit_index: 0,
+            membership_commit_index: 0,
             fenced: BTreeSet::new(),
+            incoming_snapshot: None,
+            persistence: Persistence::default(),
+            application: Application::default(),
+            compaction: Compaction::default(),
             progress: BTreeMap::new(),
-            first: 0,
-            heartbeat_due: now,
-            quorum_due: now,
-            broadcast_pending: false,
-            round: 0,
-            round_wanted: false,
-            reads: vec![],
-            incoming: None,
-            held: VecDeque::new(),
-            output: Ready::default(),
-            seen: Observed { leader: None, leads: false, group: 0, settled: true },
+            first_index_of_term: 0,
+            heartbeat_deadline: now,
+            quorum_deadline: now,
+            is_broadcast_pending: false,
+            reads: Reads::default(),
+            ready: Ready::default(),
+            last_status: Status {
+                leader: None,
+                is_serving_leader: false,
+                replica_set_index: 0,
+                is_replica_set_committed: true,
+            },
         };
         // Nobody is known to lead: all may have just started. Pre-votes harm no leader that does.
-        replica.deadline = replica.draw(replica.settings.election_timeout / 4);
+        replica.election_deadline = replica.random_deadline(replica.settings.election_timeout / 4);
         replica
     }
 
-    /// When `due` is to be called, at the latest.
+    /// When [`Replica::handle_timeout`] is to be called, at the latest.
     pub fn next_timeout(&self) -> Time {
         if self.has_unapplied_entries() {
             return self.now;
         }
         if self.role == Role::Leader {
-            self.heartbeat_due.min(self.quorum_due)
+            self.heartbeat_deadline.min(self.quorum_deadline)
         } else {
-            // More often than it would stand: so a gap between calls tells that the process stood still.
-            self.deadline.min(self.now + (self.settings.election_timeout / 2).max(1))
+            // More often than it would campaign: so a gap between calls shows that the process stood still.
+            self.election_deadline.min(self.now + (self.settings.election_timeout / 2).max(1))
         }
     }
 
+    /// Does what is due by this time: heartbeats of a leader, a campaign of others.
     pub fn handle_timeout(&mut self, now: Time) {
-        self.wake(now);
+        self.advance_clock(now);
         if self.role == Role::Leader {
-            if self.now >= self.heartbeat_due {
-                self.heartbeat_due = self.now + self.settings.heartbeat_interval.max(1);
-                self.broadcast_pending = true;
+            if self.now >= self.heartbeat_deadline {
+                self.heartbeat_deadline = self.now + self.settings.heartbeat_interval.max(1);
+                self.is_broadcast_pending = true;
                 for progress in self.progress.values_mut() {
-                    match &mut progress.flow {
-                        Flow::Probe { asked } => *asked = false,
-                        Flow::Snapshot { sent, patience, .. } => {
-                            // Over a link that others fill a piece takes long: repeated sooner it would fill the link itself.
-                            if sent.is_some_and(|at| self.now - at >= *patience) {
-                                *sent = None;
-                                *patience = (2 * *patience).min(self.settings.most_patience());
-                            }
-                        }
-                        Flow::Replicate { .. } => {}
-                    }
+                    progress.handle_heartbeat(self.now, &self.settings);
                 }
             }
-        } else if self.now >= self.deadline {
-            self.stand();
-        }
-    }
-
-    /// All records up to this ticket are on the disk.
-    pub fn persisted(&mut self, now: Time, ticket: u64) {
-        self.wake(now);
-        self.saved = self.saved.max(ticket.min(self.ticket));
-        while let Some(&(ticket, index)) = self.unsaved.front()
-            && ticket <= self.saved
-        {
-            self.unsaved.pop_front();
-            self.stable = self.stable.max(index);
-        }
-        while let Some((ticket, _, _)) = self.held.front()
-            && *ticket <= self.saved
-            && let Some((_, to, bytes)) = self.held.pop_front()
-        {
-            self.output.messages.push((to, bytes));
-        }
-        if self.role == Role::Candidate && self.hard_ticket <= self.saved {
-            self.votes.insert(self.me.id);
-            self.count_votes();
+        } else if self.now >= self.election_deadline {
+            self.campaign();
         }
-        self.advance();
     }
 
-    /// Proposes a command: its index, under which it is committed unless this leader is replaced first.
+    /// Proposes a command: the index and term under which it is committed, unless this leader is replaced first.
     ///
     /// # Errors
-    /// Not the leader.
+    /// [`ProposeError::NotLeader`].
     pub fn propose(&mut self, now: Time, command: Bytes) -> Result<(Index, Term), ProposeError> {
-        self.wake(now);
+        self.advance_clock(now);
         if self.role != Role::Leader {
             return Err(self.not_leader());
         }
@@ -317,168 +203,77 @@
         Ok((index, self.term))
     }
 
-    /// Proposes another group, which differs by one member or swaps one for another.
-    ///
-    /// # Errors
-    /// Not the leader; or not now, also where the groups differ by more, or an id is there twice.
-    pub fn change_replica_set(&mut self, now: Time, members: Vec<Member>) -> Result<Index, ProposeError> {
-        self.wake(now);
-        if self.role != Role::Leader {
-            return Err(self.not_leader());
-        }
-        let ids = |members: &[Member]| members.iter().map(|member| member.id).collect::<BTreeSet<_>>();
-        let before = self.log.group().after.clone();
-        let (old, new) = (ids(&before), ids(&members));
-        let by_one = old.difference(&new).count() <= 1 && new.difference(&old).count() <= 1;
-        // It need not have committed an entry of its own term: where half of the group is fenced it cannot before another one has
-        // joined. A change that was committed is on a quorum of the group that it ended, so whoever was elected has it.
-        if !self.is_replica_set_committed() || new.is_empty() || new.len() != members.len() || !by_one {
-            return Err(ProposeError::ChangeInProgress);
-        }
-        for member in &members {
-            if member.id != self.me.id {
-                let next = self.log.last() + 1;
-                let progress = self.progress.entry(member.id).or_insert_with(|| {
-                    Progress::new(member.clone(), next, Flow::Probe { asked: false }, self.now)
-                });
-                progress.member = member.clone();
-            }
-        }
-        let data = wire::group(&before, &members);
-        Ok(self.append(EntryKind::ReplicaSet, data))
-    }
-
-    /// These disks have no part in breaking a tie from now on (see `quorum`). Of any two sets that members of a group are ever
-    /// told, one must contain the other: they are decided in one order, elsewhere. Not kept on the disk.
-    pub fn fence(&mut self, now: Time, disks: impl IntoIterator<Item = MemberId>) {
-        self.wake(now);
-        let before = self.fenced.len();
-        self.fenced.extend(disks);
-        if self.fenced.len() > before {
-            self.count_votes();
-            self.advance();
-        }
-    }
-
-    /// Asks for a read that sees all that was committed before; answered in [`Output::reads`].
-    pub fn read_index(&mut self, now: Time, ticket: u64) {
-        self.wake(now);
-        if self.role == Role::Leader {
-            // What earlier leaders have committed is known once an entry of this term is.
-            self.reads.push(Read { ticket, round: self.round + 1, index: self.commit.max(self.first) });
-            self.round_wanted = true;
-        } else {
-            self.output.reads.push((ticket, Err(self.not_leader())));
-        }
-    }
-
-    /// The state machine's whole state as of all that was taken so far. Entries up to there are dropped.
-    pub fn compact(&mut self, now: Time, state: Arc<dyn SnapshotSource>) {
-        self.wake(now);
-        self.compact_asked = false;
-        if !self.restoring.is_empty() {
-            // It is of an index that the state machine has not reached or has left.
-            return;
-        }
-        let index = self.applied;
-        self.state_wanted = false;
-        self.sources += 1;
-        let source = Some(Source { number: self.sources, state: state.clone() });
-        if index == self.snapshot.index {
-            // The disk has it.
-            self.snapshot = Arc::new(Snapshot { state: source, ..Snapshot::clone(&self.snapshot) });
-            return;
-        }
-        let Some(term) = self.log.term(index) else { return };
-        let group = self.log.group_at(index).after.clone();
-        self.weight = 0;
-        self.snapshot = Arc::new(Snapshot { index, term, group, state: source });
-        self.rewrite(ChunkRecords::Encoded(state), true);
-    }
-
-    /// The snapshot that was asked for does not pay now; it is asked for again after as many bytes.
-    pub fn postpone_compaction(&mut self) {
-        self.compact_asked = false;
-        self.weight = 0;
-    }
-
-    /// What it wants done. Of what the state machine has to do it hands out [`MOST_HANDED_BYTES`] and [`MOST_HANDED_ENTRIES`] at
-    /// most; where that is not all, [`Replica::next_timeout`] is now, and [`Replica::has_backlog`] holds.
+    /// What it wants done. Of what the state machine has to do it has [`MAX_APPLY_BYTES`] and [`MAX_APPLY_ENTRIES`] at most; where
+    /// that is not all, [`Replica::next_timeout`] is now, and [`Replica::has_unapplied_entries`] holds.
     pub fn take_ready(&mut self) -> Ready {
-        self.advance();
+        self.advance_commit();
         if self.role == Role::Leader {
-            if std::mem::take(&mut self.round_wanted) {
-                self.round += 1;
-                self.broadcast_pending = true;
-            }
-            self.flush();
-        }
-        self.hand_out();
-        if self.role == Role::Leader && !self.reads.is_empty() {
-            let confirmed = self.reached_by_quorums(|progress| progress.round, self.round);
-            let applied = self.applied;
-            let answered = |read: &mut Read| read.round <= confirmed && read.index <= applied;
-            self.output.reads.extend(self.reads.extract_if(.., answered).map(|read| (read.ticket, Ok(()))));
+            self.is_broadcast_pending |= self.reads.begin_round();
+            self.replicate();
         }
-        if !self.compact_asked
-            && self.weight > self.settings.compaction_threshold_bytes
-            && self.applied > self.snapshot.index
-        {
-            self.compact_asked = true;
-            self.output.needs_compaction = true;
-        }
-        if self.restoring.is_empty() && std::mem::take(&mut self.state_wanted) && !self.compact_asked {
-            self.compact_asked = true;
-            self.output.needs_compaction = true;
-            self.output.needs_snapshot = true;
-        }
-        self.trim();
-        let observe = self.observe();
-        self.output.has_status_changed |= observe != self.seen;
-        self.seen = observe;
-        std::mem::take(&mut self.output)
+        self.apply();
+        self.answer_reads();
+        self.request_compaction();
+        self.drop_unneeded();
+        let status = self.status();
+        self.ready.has_status_changed |= status != self.last_status;
+        self.last_status = status;
+        std::mem::take(&mut self.ready)
     }
 
+    /// The member whose replica this is.
     pub fn local_member(&self) -> &Member {
-        &self.me
+        &self.local_member
     }
+
+    /// Who leads, as far as it knows; this member where it leads.
     pub fn leader(&self) -> Option<&Member> {
         self.leader.as_ref()
     }
-    /// Was elected, and may change the group; whether it may serve is told by [`Replica::is_serving_leader`].
+
+    /// Was elected, and may change the replica set; [`Replica::is_serving_leader`] says whether it may serve.
     pub fn is_leader(&self) -> bool {
         self.role == Role::Leader
     }
-    /// Leads, has committed an entry of its own term, and has handed out all that earlier leaders committed.
+
+    /// Leads, has committed an entry of its own term, and has handed the state machine all that earlier leaders committed.
     pub fn is_serving_leader(&self) -> bool {
-        self.role == Role::Leader && self.restoring.is_empty() && self.applied >= self.first
+        self.role == Role::Leader
+            && !self.application.is_restoring()
+            && self.application.applied_index() >= self.first_index_of_term
     }
+
+    /// The newest term that it knows.
     pub fn term(&self) -> Term {
         self.term
     }
-    /// The newest replica set that it knows; [`Replica::is_replica_set_committed`] says whether that is committed.
-    pub fn members(&self) -> &[Member] {
-        &self.log.group().after
-    }
-    /// The index of the entry that names the newest group that it knows, or of a snapshot that does.
-    pub fn replica_set_index(&self) -> Index {
-        self.log.group().index
-    }
-    /// Bytes of the entries that are in its log and not known to be committed.
+
+    /// Bytes in memory of the entries that are in its log and not known to be committed.
     pub fn uncommitted_bytes(&self) -> usize {
-        self.log.weight_after(self.commit)
+        self.log.bytes_after(self.commit_index)
     }
+
     /// Entries that are in its log and not known to be committed.
     pub fn uncommitted_entries(&self) -> u64 {
-        self.log.last().saturating_sub(self.commit)
+        self.log.last_index().saturating_sub(self.commit_index)
     }
+
     /// How far each other member is behind, as the leader knows it; empty where this member does not lead.
     pub fn replication_lag(&self) -> Vec<ReplicationLag> {
-        let last = self.log.last();
+        let last_index = self.log.last_index();
         let lag = |(&member, progress): (&MemberId, &Progress)| ReplicationLag {
             member,
-            entries: last.saturating_sub(progress.matched),
+            entries: last_index.saturating_sub(progress.matched_index),
         };
         self.progress.iter().map(lag).collect()
     }
+
+    fn status(&self) -> Status {
+        Status {
+            leader: self.leader.as_ref().map(|leader| leader.id),
+            is_serving_leader: self.is_serving_leader(),
+            replica_set_index: self.replica_set_index(),
+            is_replica_set_committed: self.is_replica_set_committed(),
+        }
+    }
 }
--- a/crates/consensus/src/replica/election.rs
+++ b/crates/consensus/src/replica/election.rs
@@ -1,176 +1,193 @@
-//! Time and elections: pre-votes, votes, and a leader that steps down when it hears no quorum.
+//! Time and elections (Raft 3.4): pre-votes (9.6), votes, and a leader that steps down without contact to a quorum (6.2).
 
-use std::collections::{BTreeSet, VecDeque};
+use std::collections::BTreeSet;
 
+use bytes::Bytes;
 use rand::Rng;
 
-use super::{Flow, Progress, Replica, Role};
-use crate::log::EntryKind;
-use crate::quorum::Quorums;
-use crate::wire::{self, Body};
-use crate::{Index, Member, MemberId, ProposeError, Term, Time};
-use bytes::Bytes;
+use super::{Replica, Role};
+use crate::entry::EntryKind;
+use crate::message::{Body, VoteRequest, VoteResponse};
+use crate::progress::{InFlight, Progress, ProgressState};
+use crate::{Member, MemberId, ProposeError, Term, Time};
 
 impl Replica {
-    pub(super) fn wake(&mut self, now: Time) {
+    /// Each call begins with this: a leader without contact to a quorum steps down before it does anything else.
+    pub(super) fn advance_clock(&mut self, now: Time) {
         let now = now.max(self.now);
-        let jumped = now - self.now > self.settings.election_timeout;
+        let has_stood_still = now - self.now > self.settings.election_timeout;
         self.now = now;
         if self.role == Role::Leader {
-            if now >= self.quorum_due {
-                let heard = self.reached_by_quorums(|progress| progress.heard, now);
-                self.quorum_due = heard + self.settings.election_timeout;
-                if now >= self.quorum_due {
+            if now >= self.quorum_deadline {
+                let quorum_contact = self.reached_by_quorums(|progress| progress.last_contact, now);
+                self.quorum_deadline = quorum_contact + self.settings.election_timeout;
+                if now >= self.quorum_deadline {
                     self.step_down();
                 }
             }
-        } else if jumped {
-            // It stood still: messages that wait are heard first.
-            self.restart_timer();
+        } else if has_stood_still {
+            // Messages that wait are received first.
+            self.restart_election_timer();
         }
     }
 
-    pub(super) fn draw(&mut self, least: Time) -> Time {
-        let least = least.max(1);
-        self.now + self.rng.random_range(least..2 * least)
+    /// A time from now, drawn between `min` and twice that.
+    pub(super) fn random_deadline(&mut self, min: Time) -> Time {
+        let min = min.max(1);
+        self.now + self.rng.random_range(min..2 * min)
     }
-    pub(super) fn restart_timer(&mut self) {
-        self.deadline = self.draw(self.settings.election_timeout);
+
+    fn restart_election_timer(&mut self) {
+        self.election_deadline = self.random_deadline(self.settings.election_timeout);
     }
 
-    pub(super) fn stand(&mut self) {
-        self.restart_timer();
+    /// Asks for pre-votes.
+    pub(super) fn campaign(&mut self) {
+        self.restart_election_timer();
         self.leader = None;
-        if !self.has_seat() {
+        if !self.is_member() {
             return;
         }
         self.role = Role::PreCandidate;
-        // To ask disturbs nobody, so it asks again soon.
-        self.deadline = self.draw(self.settings.election_timeout / 4);
-        self.votes = BTreeSet::from([self.me.id]);
-        for member in self.others() {
-            let body = self.vote_request(true);
-            self.send(&member, body, &[]);
+        // Pre-votes disturb nobody, so it asks again soon.
+        self.election_deadline = self.random_deadline(self.settings.election_timeout / 4);
+        self.votes = BTreeSet::from([self.local_member.id]);
+        for member in self.other_members() {
+            let request = self.vote_request(true);
+            self.send(&member, &request);
         }
         self.count_votes();
     }
-    pub(super) fn vote_request(&self, pre: bool) -> Body {
-        Body::RequestVote {
-            pre: u8::from(pre),
-            for_term: self.term + u64::from(pre),
-            last_index: self.log.last(),
-            last_term: self.log.last_term(),
-        }
+
+    fn vote_request(&self, is_pre_vote: bool) -> Body {
+        let for_term = self.term + u64::from(is_pre_vote);
+        Body::RequestVote(VoteRequest { is_pre_vote, for_term, last: self.log.last() })
     }
+
+    /// Goes on to the next part of the campaign where the votes are enough.
     pub(super) fn count_votes(&mut self) {
-        let elected = self.has_seat()
-            && self
-                .groups()
-                .all(|group| Quorums::new(group, &self.fenced).is_met(|id| self.votes.contains(&id)));
+        let is_elected = self.is_member() && self.is_elected_by_quorums();
         match self.role {
-            Role::PreCandidate if elected => {
-                let me = self.me.id;
-                self.set_term(self.term + 1, Some(me));
+            Role::PreCandidate if is_elected => {
+                self.set_term(self.term + 1, Some(self.local_member.id));
                 self.role = Role::Candidate;
+                // Its own vote counts once it is on the disk.
                 self.votes.clear();
-                for member in self.others() {
-                    self.hold(self.hard_ticket, &member, self.vote_request(false));
+                for member in self.other_members() {
+                    self.send_after_hard_state(&member, &self.vote_request(false));
                 }
             }
-            Role::Candidate if elected => self.lead(),
+            Role::Candidate if is_elected => self.become_leader(),
             _ => {}
         }
     }
-    pub(super) fn lead(&mut self) {
+
+    fn become_leader(&mut self) {
         self.role = Role::Leader;
-        self.leader = Some(self.me.clone());
-        self.first = self.log.last() + 1;
-        let new = |member: Member| {
-            let flow = Flow::Replicate { in_flight: VecDeque::new() };
-            (member.id, Progress::new(member, self.first, flow, self.now))
+        self.leader = Some(self.local_member.clone());
+        self.first_index_of_term = self.log.last_index() + 1;
+        let progress = |member: Member| {
+            let state = ProgressState::Replicate { in_flight: InFlight::default() };
+            (member.id, Progress::new(member, self.first_index_of_term, state, self.now))
         };
-        self.progress = self.others().into_iter().map(new).collect();
-        self.heartbeat_due = self.now + self.settings.heartbeat_interval.max(1);
-        self.quorum_due = self.now + self.settings.election_timeout;
-        self.broadcast_pending = true;
+        self.progress = self.other_members().into_iter().map(progress).collect();
+        self.heartbeat_deadline = self.now + self.settings.heartbeat_interval.max(1);
+        self.quorum_deadline = self.now + self.settings.election_timeout;
+        self.is_broadcast_pending = true;
         self.append(EntryKind::Noop, Bytes::new());
     }
+
+    /// Becomes a follower that knows of no leader.
     pub(super) fn step_down(&mut self) {
         if self.role == Role::Leader {
-            self.leader_heard = None;
+            self.last_leader_contact = None;
         }
         self.role = Role::Follower;
         self.leader = None;
         self.progress.clear();
         self.votes.clear();
-        self.broadcast_pending = false;
-        self.round_wanted = false;
-        let refused = self.not_leader();
-        self.output.reads.extend(self.reads.drain(..).map(|read| (read.ticket, Err(refused.clone()))));
-        self.restart_timer();
+        self.is_broadcast_pending = false;
+        self.fail_reads(&self.not_leader());
+        self.restart_election_timer();
     }
+
     /// Takes a newer term, or votes in this one.
-    pub(super) fn set_term(&mut self, term: Term, voted: Option<MemberId>) {
+    pub(super) fn set_term(&mut self, term: Term, voted_for: Option<MemberId>) {
         if term > self.term {
             self.step_down();
-            self.leader_heard = None;
-            self.abandon_incoming();
+            self.last_leader_contact = None;
+            self.abandon_incoming_snapshot();
         }
-        self.term = term;
-        self.voted = voted;
-        let record = wire::hard_state_record(term, voted);
-        self.hard_ticket = self.save(record);
+        self.persist_hard_state(term, voted_for);
     }
+
     /// A leader of this term is alive.
     pub(super) fn follow(&mut self, leader: &Member) {
         self.role = Role::Follower;
-        self.leader_heard = Some(self.now);
+        self.last_leader_contact = Some(self.now);
         if self.leader.as_ref() != Some(leader) {
             self.leader = Some(leader.clone());
         }
-        self.restart_timer();
+        self.restart_election_timer();
     }
+
+    /// The error of who does not lead: who does, unless that is unknown.
     pub(super) fn not_leader(&self) -> ProposeError {
-        ProposeError::NotLeader(self.leader.clone().filter(|leader| leader.id != self.me.id))
+        ProposeError::NotLeader(self.leader.clone().filter(|leader| leader.id != self.local_member.id))
     }
 
-    pub(super) fn vote_requested(
-        &mut self,
-        from: &Member,
-        pre: bool,
-        term: Term,
-        for_term: Term,
-        last: (Term, Index),
-    ) {
-        let has_leader = self.role == Role::Leader
-            || self.leader_heard.is_some_and(|heard| self.now - heard < self.settings.election_timeout);
-        if !has_leader && term > self.term {
+    /// Leads, or had contact to a leader within an election timeout: it then grants no vote (Raft 4.2.3).
+    fn has_active_leader(&self) -> bool {
+        let is_recent = |contact: Time| self.now - contact < self.settings.election_timeout;
+        self.role == Role::Leader || self.last_leader_contact.is_some_and(is_recent)
+    }
+
+    /// Answers a candidate of this term.
+    pub(super) fn handle_vote_request(&mut self, candidate: &Member, term: Term, request: &VoteRequest) {
+        let VoteRequest { is_pre_vote, for_term, last } = *request;
+        let has_active_leader = self.has_active_leader();
+        if !has_active_leader && term > self.term {
             self.set_term(term, None);
         }
-        let complete = last >= (self.log.last_term(), self.log.last()).max(self.vote_floor);
-        let granted = !has_leader
-            && complete
-            && if pre {
-                for_term > self.term
-            } else {
-                for_term == self.term && self.voted.is_none_or(|voted| voted == from.id)
-            };
-        if granted && !pre {
-            if self.voted.is_none() {
-                self.set_term(for_term, Some(from.id));
+        let is_up_to_date = last >= self.log.last().max(self.vote_floor);
+        let is_free = if is_pre_vote {
+            for_term > self.term
+        } else {
+            for_term == self.term && self.voted_for.is_none_or(|voted_for| voted_for == candidate.id)
+        };
+        let is_granted = !has_active_leader && is_up_to_date && is_free;
+        if is_granted && !is_pre_vote {
+            if self.voted_for.is_none() {
+                self.set_term(for_term, Some(candidate.id));
             }
             self.role = Role::Follower;
-            self.restart_timer();
+            self.restart_election_timer();
         }
-        let group = self.log.group().index;
-        let settled = if self.is_replica_set_committed() { self.log.term(group) } else { None };
-        let body = Body::Vote {
-            pre: u8::from(pre),
+        let is_committed = self.is_replica_set_committed();
+        let committed = is_committed.then(|| self.log.position(self.replica_set_index())).flatten();
+        let response = VoteResponse {
+            is_pre_vote,
             for_term,
-            granted: u8::from(granted),
-            settled_index: settled.map_or(0, |_| group),
-            settled_term: settled.unwrap_or_default(),
+            is_granted,
+            committed_replica_set: committed.unwrap_or_default(),
+        };
+        self.send_after_hard_state(candidate, &Body::Vote(response));
+    }
+
+    /// Takes a vote, where it is one of the campaign that runs.
+    pub(super) fn handle_vote(&mut self, voter: &Member, vote: &VoteResponse) {
+        self.learn_membership_committed(vote.committed_replica_set);
+        let is_expected = match self.role {
+            Role::PreCandidate => vote.is_pre_vote && vote.for_term == self.term + 1,
+            Role::Candidate => !vote.is_pre_vote && vote.for_term == self.term,
+            Role::Follower | Role::Leader => false,
         };
-        self.hold(self.hard_ticket, from, body);
+        if !is_expected {
+            return;
+        }
+        if vote.is_granted {
+            self.votes.insert(voter.id);
+        }
+        self.count_votes();
     }
 }
--- a/crates/consensus/src/replica/entries.rs
+++ b/crates/consensus/src/replica/entries.rs
@@ -1,142 +1,84 @@
-//! Entries: appended, saved, committed, and replaced by those of a newer leader.
+//! The log as it changes: entries that a leader appends, and those that a follower takes from it (Raft 3.5).
 
-use super::{Replica, Role};
-use crate::log::{Entry, EntryKind, Snapshot};
-use crate::records::{ChunkRecords, Records};
-use crate::wire::{self, Body};
-use crate::{Index, Member, Rewrite, Term};
 use bytes::Bytes;
 
+use super::Replica;
+use crate::entry::{Entry, EntryKind, LogPosition, ReplicaSetChange};
+use crate::message::{AppendAccepted, AppendEntries, AppendRejected, Body};
+use crate::{Index, Member, wire};
+
+/// The change of the replica set that an entry is, if it is one. Bytes that are none were rejected where the entry was decoded.
+fn replica_set_change(entry: &Entry) -> Option<ReplicaSetChange> {
+    let is_change = entry.kind == EntryKind::ReplicaSet;
+    is_change.then(|| wire::decode_replica_set(&entry.data).ok()).flatten()
+}
+
 impl Replica {
-    pub(super) fn save(&mut self, record: Bytes) -> u64 {
-        if !std::mem::replace(&mut self.founded, true) && !self.snapshot.group.is_empty() {
-            self.ticket += 1;
-            let founding = wire::snapshot_record(0, 0, &self.snapshot.group, 0);
-            self.output.records.push((self.ticket, founding));
-        }
-        self.ticket += 1;
-        self.output.records.push((self.ticket, record));
-        self.ticket
-    }
-    pub(super) fn push(&mut self, entry: Entry) -> Index {
-        let index = self.log.last() + 1;
-        let record = wire::entry_record(index, &entry);
-        // Its content is in memory once: as the end of its record.
-        let data = record.slice(wire::ENTRY_RECORD_HEAD..);
-        self.log.push(Entry { data, ..entry });
-        let ticket = self.save(record);
-        self.unsaved.push_back((ticket, index));
-        index
-    }
+    /// Appends an entry of this term; its index.
     pub(super) fn append(&mut self, kind: EntryKind, data: Bytes) -> Index {
-        self.push(Entry { term: self.term, kind, data })
-    }
-    pub(super) fn truncate(&mut self, index: Index) {
-        self.log.truncate(index);
-        self.stable = self.stable.min(index);
-        for (_, last) in &mut self.unsaved {
-            *last = (*last).min(index);
-        }
-    }
-    /// All records anew: the snapshot with these pieces, and what follows it.
-    pub(super) fn rewrite(&mut self, chunks: ChunkRecords, is_implied: bool) {
-        let Snapshot { index, term, ref group, .. } = *self.snapshot;
-        let settled = (self.settled > index).then(|| wire::settled_record(self.settled));
-        let floor = (self.vote_floor > (0, 0)).then_some(self.vote_floor);
-        let records = Records {
-            snapshot: wire::snapshot_record(index, term, group, chunks.count()),
-            chunks,
-            hard_state: wire::hard_state_record(self.term, self.voted),
-            first: index + 1,
-            entries: (index + 1..=self.log.last()).filter_map(|at| self.log.get(at).cloned()).collect(),
-            settled,
-            vote_floor: floor.map(|(term, index)| wire::vote_floor_record(term, index)),
-        };
-        self.founded = true;
-        self.ticket += 1;
-        self.output.records.clear();
-        self.output.rewrite = Some(Rewrite { ticket: self.ticket, records, is_implied });
-        self.unsaved.push_back((self.ticket, self.log.last()));
-    }
-    /// A group entry is known to be committed.
-    pub(super) fn settle(&mut self, index: Index) {
-        if self.settled < index {
-            self.settled = index;
-            self.settled_ticket = self.save(wire::settled_record(index));
-        }
+        self.push_entry(Entry { term: self.term, kind, data })
     }
 
-    /// Whether the newest group is known to be committed, on the disk too.
-    pub(super) fn has_saved_settled(&self) -> bool {
-        self.is_replica_set_committed() && self.settled_ticket <= self.saved
-    }
-    pub(super) fn appended(&self, round: u64, matched: Index) -> Body {
-        Body::Appended { round, matched, settled: u8::from(self.has_saved_settled()) }
+    fn push_entry(&mut self, entry: Entry) -> Index {
+        let index = self.log.last_index() + 1;
+        let change = replica_set_change(&entry);
+        let entry = self.persist_entry(index, entry);
+        self.log.push(entry, change);
+        index
     }
 
-    pub(super) fn advance(&mut self) {
-        while self.role == Role::Leader {
-            let commit = self.saved_by_enough();
-            if commit <= self.commit || self.log.term(commit) != Some(self.term) {
-                break;
-            }
-            self.commit_to(commit);
-        }
+    /// Appends an entry that the disk holds already.
+    pub(super) fn push_recovered(&mut self, entry: Entry) {
+        let change = replica_set_change(&entry);
+        self.log.push(entry, change);
     }
-    pub(super) fn commit_to(&mut self, commit: Index) {
-        self.commit = self.commit.max(commit.min(self.log.last()));
-        let group = self.log.group().index;
-        if group <= self.settled || group > self.commit || group <= self.snapshot.index {
-            return;
-        }
-        self.settle(group);
-        if self.role != Role::Leader {
-            return;
-        }
-        // Who leaves learns of it now or never.
-        self.broadcast_pending = true;
-        self.flush();
-        let members = &self.log.group().after;
-        self.progress.retain(|id, _| members.iter().any(|member| member.id == *id));
-        if members.iter().all(|member| member.id != self.me.id) {
-            self.step_down();
-        }
+
+    fn truncate(&mut self, last_index: Index) {
+        self.log.truncate(last_index);
+        self.persistence.truncate(last_index);
     }
 
-    pub(super) fn append_requested(
-        &mut self,
-        from: &Member,
-        round: u64,
-        prev: (Index, Term),
-        commit: Index,
-        entries: Vec<Entry>,
-    ) {
-        let (prev_index, prev_term) = prev;
+    /// Takes a leader's entries, where the entry before them is here too.
+    pub(super) fn handle_append_entries(&mut self, leader: &Member, append: AppendEntries) {
+        let AppendEntries { read_round, prev, commit_index, entries } = append;
         // What is committed is the same everywhere.
-        if prev_index > self.commit && self.log.term(prev_index) != Some(prev_term) {
-            let hint_index = self.log.common(prev_index, prev_term).max(self.commit);
-            let hint_term = self.log.term(hint_index).unwrap_or_default();
-            let body = Body::Rejected { round, prev_index, hint_index, hint_term };
-            self.hold(self.hard_ticket, from, body);
+        if prev.index > self.commit_index && self.log.term_at(prev.index) != Some(prev.term) {
+            self.reject_append(leader, read_round, prev);
             return;
         }
-        let bulky = !entries.is_empty();
-        let last = prev_index + entries.len() as u64;
-        for (index, entry) in (prev_index + 1..).zip(entries) {
-            if index <= self.commit || self.log.term(index) == Some(entry.term) {
+        let has_entries = !entries.is_empty();
+        let last_index = prev.index + entries.len() as u64;
+        for (index, entry) in (prev.index + 1..).zip(entries) {
+            if index <= self.commit_index || self.log.term_at(index) == Some(entry.term) {
                 continue;
             }
-            if index <= self.log.last() {
+            if index <= self.log.last_index() {
                 self.truncate(index - 1);
             }
-            self.push(entry);
+            self.push_entry(entry);
         }
-        self.commit_to(commit.min(last));
-        let last = last.max(self.commit);
-        if bulky && self.stable < last {
-            self.hold(self.ticket, from, self.appended(round, last));
+        self.commit_to(commit_index.min(last_index));
+        let last_index = last_index.max(self.commit_index);
+        let persisted_index = self.persistence.persisted_index();
+        if has_entries && persisted_index < last_index {
+            self.send_after_writes(leader, &self.append_accepted(read_round, last_index));
         } else {
-            self.hold(self.hard_ticket, from, self.appended(round, last.min(self.stable)));
+            let matched_index = last_index.min(persisted_index);
+            self.send_after_hard_state(leader, &self.append_accepted(read_round, matched_index));
         }
     }
+
+    fn reject_append(&mut self, leader: &Member, read_round: u64, prev: LogPosition) {
+        let index = self.log.newest_common_index(prev).max(self.commit_index);
+        let hint = LogPosition { term: self.log.term_at(index).unwrap_or_default(), index };
+        let rejected = AppendRejected { read_round, prev_index: prev.index, hint };
+        self.send_after_hard_state(leader, &Body::AppendRejected(rejected));
+    }
+
+    /// The answer that all up to `matched_index` is as in the leader's log.
+    pub(super) fn append_accepted(&self, read_round: u64, matched_index: Index) -> Body {
+        let is_replica_set_committed =
+            self.is_replica_set_committed() && self.persistence.is_membership_persisted();
+        Body::AppendAccepted(AppendAccepted { read_round, matched_index, is_replica_set_committed })
+    }
 }
