--- a/crates/registry/tests/format.rs
+++ b/crates/registry/tests/format.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use common::{Effects, MS, SLOW, address, worker};
 use rainlug::{SECOND, Time};
-use rainlug_registry::gossip::{CONFIGURATION, GROUPS};
-use rainlug_registry::report::{ReportedLoad, Scope, read_reports, report_name, write_reports};
+use rainlug_registry::gossip::{CONFIGURATION, TOPOLOGY};
+use rainlug_registry::report::{ReportedLoad, Scope, decode_reports, encode_reports, worker_key};
 use rainlug_registry::{Gossip, Phase, Worker, WorkerReport};
 
 /// Of each kind, so many different messages are pinned.
@@ -34,7 +34,7 @@
     fn new() -> Self {
         let gossips = [0, 1].map(|n| {
             let mut gossip = Gossip::new(SLOW, 5 + n as u64, 0);
-            gossip.peers(0, &[address(1 - n), address(2)]);
+            gossip.set_peers(0, &[address(1 - n), address(2)]);
             gossip
         });
         Pair { now: 0, gossips, sent: vec![] }
@@ -49,7 +49,7 @@
             self.sent.push(bytes.clone());
             let Some(to) = [0, 1].into_iter().find(|n| address(*n) == to) else { continue };
             let mut effects = Effects::default();
-            self.gossips[to].heard(self.now, address(from), &bytes, &mut effects);
+            self.gossips[to].receive(self.now, address(from), &bytes, &mut effects);
             on_the_way.extend(effects.sent.into_iter().map(|sent| (to, sent)));
         }
     }
@@ -59,15 +59,15 @@
         while self.now < end {
             self.now += 50 * MS;
             for n in [0, 1] {
-                self.act(n, |gossip, now, out| gossip.due(now, out));
+                self.act(n, |gossip, now, out| gossip.handle_timeout(now, out));
             }
         }
     }
 }
 
-fn cold_worker() -> Worker {
+fn warming_worker() -> Worker {
     let address = "[2001:db8::1]:81".parse().expect("an address");
-    Worker { address, cold_left_ms: 9_000, slots: 16, zone: String::new(), ..worker(4, Phase::Ready, 7) }
+    Worker { address, warm_up_left_ms: 9_000, slots: 16, zone: String::new(), ..worker(4, Phase::Ready, 7) }
 }
 
 fn configuration() -> Bytes {
@@ -77,13 +77,15 @@
 /// Two processes tell one another of workers and texts; then one has missed news, and digests make it good.
 fn story() -> Pair {
     let mut pair = Pair::new();
-    pair.act(0, |gossip, now, out| gossip.text(now, CONFIGURATION, 5, configuration(), out));
-    pair.act(1, |gossip, now, out| gossip.text(now, GROUPS, 1, Bytes::from_static(b"groups"), out));
-    pair.act(0, |gossip, now, out| gossip.worker(now, worker(3, Phase::Ready, 1), out));
-    pair.act(1, |gossip, now, out| gossip.worker(now, cold_worker(), out));
+    pair.act(0, |gossip, now, out| gossip.publish_document(now, CONFIGURATION, 5, configuration(), out));
+    pair.act(1, |gossip, now, out| {
+        gossip.publish_document(now, TOPOLOGY, 1, Bytes::from_static(b"groups"), out)
+    });
+    pair.act(0, |gossip, now, out| gossip.publish_worker(now, worker(3, Phase::Ready, 1), out));
+    pair.act(1, |gossip, now, out| gossip.publish_worker(now, warming_worker(), out));
     pair.pass(3 * SECOND);
-    for (seq, phase) in [(2, Phase::Silent), (3, Phase::Draining), (4, Phase::Gone)] {
-        pair.act(0, |gossip, now, out| gossip.worker(now, worker(3, phase, seq), out));
+    for (seq, phase) in [(2, Phase::Unresponsive), (3, Phase::Draining), (4, Phase::Gone)] {
+        pair.act(0, |gossip, now, out| gossip.publish_worker(now, worker(3, phase, seq), out));
         pair.pass(SECOND);
     }
     forget(&mut pair);
@@ -94,15 +96,15 @@
 /// The second one starts anew, with a worker that the first one does not know.
 fn forget(pair: &mut Pair) {
     let mut gossip = Gossip::new(SLOW, 99, pair.now);
-    gossip.worker(pair.now, worker(8, Phase::Ready, 1), &mut Effects::default());
-    gossip.peers(pair.now, &[address(0), address(2)]);
+    gossip.publish_worker(pair.now, worker(8, Phase::Ready, 1), &mut Effects::default());
+    gossip.set_peers(pair.now, &[address(0), address(2)]);
     pair.gossips[1] = gossip;
     pair.act(1, |gossip, now, out| gossip.catch_up(now, out));
 }
 
 fn reports() -> Vec<WorkerReport> {
     let load = |age_ms| Some(ReportedLoad { running: 3, waiting: 250, age_ms });
-    let report = |id: &str, load, failed| WorkerReport { worker: report_name(id), load, failed, ended: 255 };
+    let report = |id: &str, load, failed| WorkerReport { worker: worker_key(id), load, failed, ended: 255 };
     vec![report("i-1", load(0), 0), report("i-2", None, 7), report("i-3", load(65_534), 255)]
 }
 
@@ -122,15 +124,15 @@
 #[test]
 fn given_committed_messages_when_a_gossip_hears_them_then_it_knows_what_they_tell() {
     let mut gossip = Gossip::new(SLOW, 1, 0);
-    gossip.peers(0, &[address(0), address(1)]);
+    gossip.set_peers(0, &[address(0), address(1)]);
     for (_, bytes) in fixture::read("messages") {
-        gossip.heard(SECOND, address(0), &bytes, &mut Effects::default());
+        gossip.receive(SECOND, address(0), &bytes, &mut Effects::default());
     }
-    assert_eq!(gossip.garbage(), 0);
-    assert_eq!(gossip.get(CONFIGURATION), Some((5, &configuration())));
-    assert_eq!(gossip.get(GROUPS), Some((1, &Bytes::from_static(b"groups"))));
+    assert_eq!(gossip.malformed(), 0);
+    assert_eq!(gossip.document(CONFIGURATION), Some((5, &configuration())));
+    assert_eq!(gossip.document(TOPOLOGY), Some((1, &Bytes::from_static(b"groups"))));
     let known: Vec<&Worker> = gossip.workers().collect();
-    assert!(known.contains(&&cold_worker()), "{known:?}");
+    assert!(known.contains(&&warming_worker()), "{known:?}");
     assert!(known.iter().all(|worker| worker.id != "i-3"), "it is gone: {known:?}");
 }
 
@@ -139,18 +141,18 @@
     let mut gossip = Gossip::new(SLOW, 1, 0);
     let messages = fixture::read("messages");
     for (_, bytes) in &messages {
-        gossip.heard(SECOND, address(0), &bytes[..bytes.len() - 1], &mut Effects::default());
+        gossip.receive(SECOND, address(0), &bytes[..bytes.len() - 1], &mut Effects::default());
     }
-    assert_eq!(gossip.garbage(), messages.len() as u64);
+    assert_eq!(gossip.malformed(), messages.len() as u64);
 }
 
 #[test]
 fn given_reports_of_each_scope_then_their_bytes_are_the_committed_ones_and_are_read_again() {
-    let write = |scope| write_reports(scope, &reports(), MOST_BYTES);
+    let write = |scope| encode_reports(scope, &reports(), MOST_BYTES);
     let line = |bytes: Vec<u8>| ("reports".to_owned(), Bytes::from(bytes));
     let made: fixture::Lines = SCOPES.into_iter().flat_map(write).map(line).collect();
     let committed = fixture::pin("reports", &made);
-    let read = committed.iter().map(|(_, bytes)| read_reports(bytes).expect("reports"));
+    let read = committed.iter().map(|(_, bytes)| decode_reports(bytes).expect("reports"));
     let expected = SCOPES
         .into_iter()
         .flat_map(|scope| [(scope, reports()[..2].to_vec()), (scope, reports()[2..].to_vec())]);
--- a/crates/wal/tests/format.rs
+++ b/crates/wal/tests/format.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 
 use bytes::Bytes;
-use rainlug_wal::{Compaction, Error, Wal};
+use rainlug_wal::{CompactionOutcome, Error, Wal};
 
 fn records(all: &[&str]) -> Vec<Bytes> {
     all.iter().map(|text| Bytes::copy_from_slice(text.as_bytes())).collect()
@@ -30,7 +30,7 @@
     wal.append(&records(&["fourth"])).unwrap();
     files.push(("appended".to_owned(), file(dir.path())));
     let compacted = wal.compact(&records(&["state", "rest"])[..], 0).unwrap();
-    assert_eq!(compacted, Compaction::Rewritten);
+    assert_eq!(compacted, CompactionOutcome::Rewritten);
     files.push(("rewritten".to_owned(), file(dir.path())));
     wal.append(&records(&["later", "last"])).unwrap();
     files.push(("appended to a rewritten one".to_owned(), file(dir.path())));
