--- a/crates/wal/src/disk_space.rs
+++ b/crates/wal/src/disk_space.rs
@@ -1,11 +1,12 @@
-//! The room of one disk, shared by the logs on it.
+//! Accounting for the space of one disk, shared by all logs on it.
 
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use crate::compaction;
 
-/// A ledger of a disk's bytes: what its logs hold, and what rewrites under way are going to.
+/// The bytes of a disk that its open logs take and that rewrites in progress have reserved. It counts only what goes through this
+/// crate, and it bounds rewrites only: an append is refused by the file system, not by this.
 #[derive(Debug)]
 pub struct DiskSpace {
     capacity: u64,
@@ -14,7 +15,7 @@
 }
 
 impl DiskSpace {
-    /// The room of a disk of so many bytes.
+    /// A disk of `capacity` bytes on which nothing is used.
     pub fn new(capacity: u64) -> Self {
         DiskSpace { capacity, used: Mutex::new(0), released: Condvar::new() }
     }
@@ -24,23 +25,23 @@
         self.capacity
     }
 
-    /// Bytes that no log holds and no rewrite has reserved.
+    /// Bytes that no open log takes and no rewrite has reserved.
     pub fn free(&self) -> u64 {
         self.capacity.saturating_sub(*self.lock())
     }
 
-    /// Bytes that appends have to themselves.
+    /// Bytes that rewrites leave to appends.
     pub fn reserved_for_appends(&self) -> u64 {
         compaction::reserved_for_appends(self.capacity)
     }
 
-    /// A log has become longer.
+    /// Counts bytes that a log has grown by.
     pub(crate) fn add(&self, bytes: u64) {
         let mut used = self.lock();
         *used = used.saturating_add(bytes);
     }
 
-    /// A log has become shorter, or a reservation is given back.
+    /// Gives back bytes of a log or of a reservation, and wakes all that wait for space.
     pub(crate) fn release(&self, bytes: u64) {
         let mut used = self.lock();
         *used = used.saturating_sub(bytes);
@@ -48,29 +49,28 @@
         self.released.notify_all();
     }
 
-    /// Reserves bytes for a rewrite and leaves others free; false where they are not there.
-    pub(crate) fn reserve(&self, bytes: u64, left_free: u64) -> bool {
+    /// Reserves bytes for a rewrite if at least `min_free` bytes stay free beside them; false, and nothing reserved, otherwise.
+    pub(crate) fn reserve(&self, bytes: u64, min_free: u64) -> bool {
         let mut used = self.lock();
         let wanted = used.saturating_add(bytes);
-        let fits = wanted.saturating_add(left_free) <= self.capacity;
+        let fits = wanted.saturating_add(min_free) <= self.capacity;
         if fits {
             *used = wanted;
         }
         fits
     }
 
-    /// What was reserved is in use; it has come to so many bytes.
-    pub(crate) fn settle(&self, reserved: u64, written: u64) {
+    /// Turns a reservation into use: `written` bytes were written where `reserved` had been reserved.
+    pub(crate) fn commit_reservation(&self, reserved: u64, written: u64) {
         match written.checked_sub(reserved) {
             Some(more) => self.add(more),
             None => self.release(reserved - written),
         }
     }
 
-    /// Waits until something is released, at most so long.
-    pub(crate) fn wait(&self, most: Duration) {
-        // Both an early and a late end are fine: the caller tries again.
-        let _ = self.released.wait_timeout(self.lock(), most);
+    /// Waits until something is released, at most for `timeout`. It may return early: callers check again in any case.
+    pub(crate) fn wait_for_release(&self, timeout: Duration) {
+        let _ = self.released.wait_timeout(self.lock(), timeout);
     }
 
     fn lock(&self) -> MutexGuard<'_, u64> {
--- a/crates/wal/src/source.rs
+++ b/crates/wal/src/record_source.rs
@@ -2,15 +2,17 @@
 
 use bytes::Bytes;
 
-use crate::record::HEADER;
+use crate::record::HEADER_BYTES;
 
-/// Records to be walked over in order, again where the disk refused them. The same ones each time.
+/// A list of records for a rewrite, which need not be in memory. It is read in order, and again from the start where the disk
+/// refused a rewrite; it has to give the same records each time.
 pub trait RecordSource: Send {
-    /// How many there are.
+    /// How many records there are.
     fn count(&self) -> usize;
-    /// One of them; made now where it is not in memory.
+    /// The payload of one record, by its position from 0 on. Only positions below [`count`](Self::count) are asked for.
     fn record(&self, number: usize) -> Bytes;
-    /// Bytes of all of them together: the room that is reserved before they are written.
+    /// Bytes of all payloads together: the space that is reserved before they are written. Where that turns out wrong, the space
+    /// in use is corrected to what was written.
     fn payload_bytes(&self) -> u64;
 }
 
@@ -56,12 +58,12 @@
     }
 }
 
-/// The records from a number on.
+/// The records from a position on.
 pub fn records_from<S: RecordSource + ?Sized>(source: &S, first: usize) -> impl Iterator<Item = Bytes> {
     (first..source.count()).map(|number| source.record(number))
 }
 
-/// Bytes that these records take in a file.
-pub fn encoded_length<S: RecordSource + ?Sized>(source: &S) -> u64 {
-    source.payload_bytes() + (HEADER * source.count()) as u64
+/// Bytes that all records take in a file, with their headers.
+pub fn encoded_bytes<S: RecordSource + ?Sized>(source: &S) -> u64 {
+    source.payload_bytes() + (HEADER_BYTES * source.count()) as u64
 }
