--- a/crates/wal/tests/failed_write.rs
+++ b/crates/wal/tests/failed_write.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn what_a_failed_append_left_is_gone_before_the_next() {
+fn given_a_failed_append_then_what_it_left_is_cut_off_before_the_next() {
     let dir = tempfile::tempdir().unwrap();
     let directory = dir.path().canonicalize().unwrap();
     let path = directory.join("wal");
@@ -37,7 +37,7 @@
     wal.append(&[Bytes::from("kept")]).unwrap();
     let kept = fs::read(&path).unwrap();
     wal.append(&[Bytes::from("one"), Bytes::from("two")]).unwrap();
-    let whole = fs::read(&path).unwrap();
+    let complete = fs::read(&path).unwrap();
     fs::write(&path, &kept).unwrap();
     drop(wal);
 
@@ -51,8 +51,8 @@
         assert!(matches!(&result, Err(Error::Io(named, _)) if *named == path), "{result:?}");
         assert_eq!(wal.length(), kept.len() as u64);
     }
-    // All of it has come to the disk, yet the append was told to have failed.
-    fs::write(&path, &whole).unwrap();
+    // All of it has come to the disk, yet the append returned an error.
+    fs::write(&path, &complete).unwrap();
     exchange(descriptor, &path);
     // Without the cut, "two" would stand after it.
     wal.append(&[Bytes::from("new")]).unwrap();
--- a/crates/wal/tests/faults/files.rs
+++ b/crates/wal/tests/faults/disk.rs
@@ -12,11 +12,11 @@
 pub enum Fault {
     #[default]
     None,
-    /// Folders are never synced.
-    NoFolderSync,
+    /// Directories are never synced.
+    NoDirectorySync,
     /// A file that is to be renamed is not synced before.
-    NoFreshSync,
-    /// Files are not synced when they are opened, nor their folder.
+    NoReplacementSync,
+    /// Files are not synced when they are opened, nor their directory.
     NoSyncOnOpen,
 }
 
@@ -33,18 +33,18 @@
     names: BTreeMap<PathBuf, usize>,
     synced_names: BTreeMap<PathBuf, usize>,
     capacity: Option<usize>,
-    refuses: bool,
-    stalls: bool,
+    is_refusing: bool,
+    is_stalled: bool,
     operations: usize,
     /// The operation at which power goes; it and all later ones fail.
-    dies_at: Option<usize>,
+    power_loss_at: Option<usize>,
     fault: Fault,
     is_opening: bool,
 }
 
 /// Handles of one disk.
 #[derive(Clone, Default)]
-pub struct TestFiles(Arc<(Mutex<State>, Condvar)>);
+pub struct TestDisk(Arc<(Mutex<State>, Condvar)>);
 
 /// What a loss of power keeps of the writes after a file's last sync.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,7 +64,7 @@
     /// Counts an operation; false once power is gone.
     fn step(&mut self) -> bool {
         self.operations += 1;
-        self.dies_at.is_none_or(|at| self.operations <= at)
+        self.power_loss_at.is_none_or(|at| self.operations <= at)
     }
 
     /// Bytes of all files that have a name.
@@ -73,11 +73,11 @@
     }
 }
 
-impl TestFiles {
+impl TestDisk {
     pub fn with_fault(fault: Fault) -> Self {
-        let files = TestFiles::default();
-        files.state().fault = fault;
-        files
+        let disk = TestDisk::default();
+        disk.state().fault = fault;
+        disk
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -85,10 +85,10 @@
     }
 
     /// The state, once the disk does not stall; an error where it refuses or has no power.
-    fn operate(&self) -> io::Result<MutexGuard<'_, State>> {
-        let mut state = self.0.1.wait_while(self.state(), |s| s.stalls).expect("no test panics with it");
+    fn begin_operation(&self) -> io::Result<MutexGuard<'_, State>> {
+        let mut state = self.0.1.wait_while(self.state(), |s| s.is_stalled).expect("no test panics with it");
         let has_power = state.step();
-        if !has_power || state.refuses {
+        if !has_power || state.is_refusing {
             return Err(io::Error::other(if has_power { "refused" } else { "no power" }));
         }
         Ok(state)
@@ -98,17 +98,17 @@
         self.state().capacity = capacity;
     }
 
-    pub fn set_refusing(&self, refuses: bool) {
-        self.state().refuses = refuses;
+    pub fn set_refusing(&self, is_refusing: bool) {
+        self.state().is_refusing = is_refusing;
     }
 
-    pub fn set_stalled(&self, stalls: bool) {
-        self.state().stalls = stalls;
+    pub fn set_stalled(&self, is_stalled: bool) {
+        self.state().is_stalled = is_stalled;
         self.0.1.notify_all();
     }
 
-    pub fn die_at(&self, operation: usize) {
-        self.state().dies_at = Some(operation);
+    pub fn lose_power_at(&self, operation: usize) {
+        self.state().power_loss_at = Some(operation);
     }
 
     pub fn operations(&self) -> usize {
@@ -127,13 +127,13 @@
     /// The process ends and the machine goes on.
     pub fn after_kill(&self) -> Self {
         let mut state = self.state().clone();
-        state.dies_at = None;
+        state.power_loss_at = None;
         state.operations = 0;
-        TestFiles(Arc::new((Mutex::new(state), Condvar::new())))
+        TestDisk(Arc::new((Mutex::new(state), Condvar::new())))
     }
 
     /// Names whose fate a loss of power decides.
-    fn open_names(&self) -> Vec<PathBuf> {
+    fn unsynced_names(&self) -> Vec<PathBuf> {
         let state = self.state();
         let all = state.names.keys().chain(state.synced_names.keys());
         let mut open: Vec<PathBuf> =
@@ -146,29 +146,28 @@
     /// Every state that a loss of power may leave: each name that was not synced kept or lost by itself, and unsynced writes lost,
     /// torn or kept.
     pub fn after_power_loss(&self) -> Vec<Self> {
-        let open = self.open_names();
+        let open = self.unsynced_names();
         let mut all = Vec::new();
-        for kept in 0..1_u32 << open.len() {
+        for kept_names in 0..1_u32 << open.len() {
             for tail in TAILS {
                 let mut state = self.state().clone();
                 let mut names = state.synced_names.clone();
-                for (i, name) in open.iter().enumerate().filter(|(i, _)| kept >> i & 1 == 1) {
-                    let _ = i;
+                for (_, name) in open.iter().enumerate().filter(|(i, _)| kept_names >> i & 1 == 1) {
                     match state.names.get(name) {
                         Some(inode) => names.insert(name.clone(), *inode),
                         None => names.remove(name),
                     };
                 }
                 for inode in &mut state.inodes {
-                    inode.bytes = survivor(inode, tail);
+                    inode.bytes = surviving_bytes(inode, tail);
                     inode.synced = inode.bytes.clone();
                 }
                 state.synced_names = names.clone();
                 state.names = names;
-                state.dies_at = None;
-                state.stalls = false;
+                state.power_loss_at = None;
+                state.is_stalled = false;
                 state.operations = 0;
-                all.push(TestFiles(Arc::new((Mutex::new(state), Condvar::new()))));
+                all.push(TestDisk(Arc::new((Mutex::new(state), Condvar::new()))));
             }
         }
         all
@@ -176,7 +175,7 @@
 }
 
 /// A file's bytes after a loss of power.
-fn survivor(inode: &Inode, tail: Tail) -> Vec<u8> {
+fn surviving_bytes(inode: &Inode, tail: Tail) -> Vec<u8> {
     let Inode { bytes, synced } = inode;
     match tail {
         Tail::Lost => synced.clone(),
@@ -191,11 +190,11 @@
     }
 }
 
-impl FileSystem for TestFiles {
+impl FileSystem for TestDisk {
     type File = usize;
 
     fn open(&self, path: &Path, truncate: bool) -> io::Result<usize> {
-        let mut state = self.operate()?;
+        let mut state = self.begin_operation()?;
         let inode = match state.names.get(path) {
             Some(inode) => *inode,
             None => {
@@ -212,11 +211,11 @@
     }
 
     fn length(&self, file: &usize) -> io::Result<u64> {
-        Ok(self.operate()?.inodes[*file].bytes.len() as u64)
+        Ok(self.begin_operation()?.inodes[*file].bytes.len() as u64)
     }
 
     fn read_at(&self, file: &usize, buffer: &mut [u8], offset: u64) -> io::Result<usize> {
-        let state = self.operate()?;
+        let state = self.begin_operation()?;
         let bytes = state.inodes[*file].bytes.get(offset as usize..).unwrap_or_default();
         let count = bytes.len().min(buffer.len());
         buffer[..count].copy_from_slice(&bytes[..count]);
@@ -225,7 +224,7 @@
 
     /// What fits of a write stands there even if it fails.
     fn write_all_at(&self, file: &usize, bytes: &[u8], offset: u64) -> io::Result<()> {
-        let mut state = self.operate()?;
+        let mut state = self.begin_operation()?;
         let free = state.capacity.map_or(usize::MAX, |capacity| capacity.saturating_sub(state.used()));
         let inode = &mut state.inodes[*file].bytes;
         let offset = offset as usize;
@@ -239,19 +238,19 @@
     }
 
     fn set_length(&self, file: &usize, length: u64) -> io::Result<()> {
-        self.operate()?.inodes[*file].bytes.resize(length as usize, 0);
+        self.begin_operation()?.inodes[*file].bytes.resize(length as usize, 0);
         Ok(())
     }
 
     fn sync(&self, file: &usize) -> io::Result<()> {
-        let mut state = self.operate()?;
-        let is_fresh = state.names.iter().any(|(name, inode)| inode == file && is_fresh(name));
-        let is_left_out = match state.fault {
-            Fault::NoFreshSync => is_fresh,
+        let mut state = self.begin_operation()?;
+        let is_replacement = state.names.iter().any(|(name, inode)| inode == file && is_replacement(name));
+        let is_skipped = match state.fault {
+            Fault::NoReplacementSync => is_replacement,
             Fault::NoSyncOnOpen => state.is_opening,
             _ => false,
         };
-        if !is_left_out {
+        if !is_skipped {
             let inode = &mut state.inodes[*file];
             inode.synced = inode.bytes.clone();
         }
@@ -259,30 +258,30 @@
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
-        let mut state = self.operate()?;
+        let mut state = self.begin_operation()?;
         let inode = state.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
         state.names.insert(to.to_owned(), inode);
         Ok(())
     }
 
     fn remove(&self, path: &Path) -> io::Result<()> {
-        self.operate()?.names.remove(path).map(|_| ()).ok_or(io::ErrorKind::NotFound.into())
+        self.begin_operation()?.names.remove(path).map(|_| ()).ok_or(io::ErrorKind::NotFound.into())
     }
 
-    fn sync_directory(&self, _folder: &Path) -> io::Result<()> {
-        let mut state = self.operate()?;
-        let is_left_out = match state.fault {
-            Fault::NoFolderSync => true,
+    fn sync_directory(&self, _directory: &Path) -> io::Result<()> {
+        let mut state = self.begin_operation()?;
+        let is_skipped = match state.fault {
+            Fault::NoDirectorySync => true,
             Fault::NoSyncOnOpen => state.is_opening,
             _ => false,
         };
-        if !is_left_out {
+        if !is_skipped {
             state.synced_names = state.names.clone();
         }
         Ok(())
     }
 }
 
-fn is_fresh(name: &Path) -> bool {
+fn is_replacement(name: &Path) -> bool {
     name.extension().is_some_and(|extension| extension == "new")
 }
--- a/crates/wal/tests/faults/main.rs
+++ b/crates/wal/tests/faults/main.rs
@@ -1,6 +1,6 @@
 //! Logs on a disk that loses power, fills up, refuses or stalls.
 
-mod files;
+mod disk;
 mod power_loss;
 mod refusals;
 mod sources;
--- a/crates/wal/tests/faults/refusals.rs
+++ b/crates/wal/tests/faults/refusals.rs
@@ -1,4 +1,4 @@
-//! A full, refusing or stalled disk holds up what is to be kept, and loses nothing that was acknowledged.
+//! A full, refusing or stalled disk delays what is to be written, and loses nothing that was acknowledged.
 
 use std::path::Path;
 use std::sync::{Arc, mpsc};
@@ -6,11 +6,11 @@
 use bytes::Bytes;
 use rainlug_wal::{CompactionOutcome, DiskSpace, Synced, Wal, Writer, WriterEvent};
 
-use crate::files::TestFiles;
+use crate::disk::TestDisk;
 
 const CAPACITY: usize = 4096;
 /// Bytes before the payload of a record.
-const HEADER: usize = 20;
+const HEADER_BYTES: usize = 20;
 
 type Records = Vec<Bytes>;
 
@@ -18,132 +18,132 @@
     vec![Bytes::from(vec![fill; length])]
 }
 
-fn limited() -> TestFiles {
-    let files = TestFiles::default();
-    files.set_capacity(Some(CAPACITY));
-    files
+fn limited_disk() -> TestDisk {
+    let disk = TestDisk::default();
+    disk.set_capacity(Some(CAPACITY));
+    disk
 }
 
 fn disk_space() -> Arc<DiskSpace> {
     Arc::new(DiskSpace::new(CAPACITY as u64))
 }
 
-fn open(files: &TestFiles, disk_space: &Arc<DiskSpace>, name: &str) -> (Wal<TestFiles>, Records) {
-    Wal::open_with(files.clone(), disk_space.clone(), Path::new("/data"), name).expect("a disk that works")
+fn open(disk: &TestDisk, disk_space: &Arc<DiskSpace>, name: &str) -> (Wal<TestDisk>, Records) {
+    Wal::open_with(disk.clone(), disk_space.clone(), Path::new("/data"), name).expect("a disk that works")
 }
 
 /// What is found after every outcome of a loss of power, if that is the same.
-fn survivors(files: &TestFiles, name: &str) -> Records {
+fn survivors(disk: &TestDisk, name: &str) -> Records {
     let mut all: Vec<Records> =
-        files.after_power_loss().iter().map(|disk| open(disk, &disk_space(), name).1).collect();
+        disk.after_power_loss().iter().map(|disk| open(disk, &disk_space(), name).1).collect();
     all.dedup();
     assert_eq!(all.len(), 1, "{all:?}");
     all.remove(0)
 }
 
-fn started(wal: Wal<TestFiles>) -> (Writer, mpsc::Receiver<WriterEvent>) {
-    let (told, reports) = mpsc::channel();
-    (Writer::start(wal, move |report| told.send(report).expect("the test listens")), reports)
+fn start(wal: Wal<TestDisk>) -> (Writer, mpsc::Receiver<WriterEvent>) {
+    let (sender, events) = mpsc::channel();
+    (Writer::start(wal, move |event| sender.send(event).expect("the test listens")), events)
 }
 
-fn done(reports: &mpsc::Receiver<WriterEvent>) -> Synced {
-    match reports.recv().expect("the thread lives") {
-        WriterEvent::Synced(done) => done,
+fn expect_synced(events: &mpsc::Receiver<WriterEvent>) -> Synced {
+    match events.recv().expect("the thread lives") {
+        WriterEvent::Synced(synced) => synced,
         other => panic!("{other:?}"),
     }
 }
 
-fn failing(reports: &mpsc::Receiver<WriterEvent>) {
-    let report = reports.recv().expect("the thread lives");
-    assert!(matches!(report, WriterEvent::Failing(_)), "{report:?}");
+fn expect_failing(events: &mpsc::Receiver<WriterEvent>) {
+    let event = events.recv().expect("the thread lives");
+    assert!(matches!(event, WriterEvent::Failing(_)), "{event:?}");
 }
 
-fn recovered(reports: &mpsc::Receiver<WriterEvent>) {
-    let report = reports.recv().expect("the thread lives");
-    assert!(matches!(report, WriterEvent::Recovered), "{report:?}");
+fn expect_recovered(events: &mpsc::Receiver<WriterEvent>) {
+    let event = events.recv().expect("the thread lives");
+    assert!(matches!(event, WriterEvent::Recovered), "{event:?}");
 }
 
 #[test]
-fn an_append_waits_for_room_and_is_told_of_once() {
-    let files = limited();
-    let (wal, _) = open(&files, &disk_space(), "wal");
-    let (writer, reports) = started(wal);
+fn given_a_full_disk_when_appending_then_it_waits_for_space_and_fails_once() {
+    let disk = limited_disk();
+    let (wal, _) = open(&disk, &disk_space(), "wal");
+    let (writer, events) = start(wal);
     writer.append(1, record(1, 1000));
-    assert_eq!(done(&reports).ticket, 1);
+    assert_eq!(expect_synced(&events).ticket, 1);
     writer.append(2, record(2, 4000));
-    failing(&reports);
-    // Later ones do not overtake it, and nothing is told of before it is kept.
+    expect_failing(&events);
+    // Later ones do not overtake it, and nothing is reported before it is synced.
     writer.append(3, record(3, 10));
-    assert_eq!(survivors(&files, "wal"), record(1, 1000));
-    files.set_capacity(None);
-    recovered(&reports);
-    let mut last = done(&reports).ticket;
+    assert_eq!(survivors(&disk, "wal"), record(1, 1000));
+    disk.set_capacity(None);
+    expect_recovered(&events);
+    let mut last = expect_synced(&events).ticket;
     if last == 2 {
-        last = done(&reports).ticket;
+        last = expect_synced(&events).ticket;
     }
     assert_eq!(last, 3);
-    assert_eq!(survivors(&files, "wal"), [record(1, 1000), record(2, 4000), record(3, 10)].concat());
+    assert_eq!(survivors(&disk, "wal"), [record(1, 1000), record(2, 4000), record(3, 10)].concat());
 }
 
 #[test]
-fn what_does_not_fit_leaves_no_bytes_behind() {
-    let files = limited();
-    let (mut wal, _) = open(&files, &disk_space(), "wal");
+fn given_an_append_that_does_not_fit_then_it_leaves_no_bytes_behind() {
+    let disk = limited_disk();
+    let (mut wal, _) = open(&disk, &disk_space(), "wal");
     wal.append(&record(1, 1000)).unwrap();
-    let used = files.used();
+    let used = disk.used();
     assert!(wal.append(&record(2, 4000)).is_err());
-    assert_eq!(files.used(), used);
+    assert_eq!(disk.used(), used);
     wal.append(&record(3, 2000)).unwrap();
-    assert_eq!(survivors(&files, "wal"), [record(1, 1000), record(3, 2000)].concat());
+    assert_eq!(survivors(&disk, "wal"), [record(1, 1000), record(3, 2000)].concat());
 }
 
 #[test]
-fn a_rewrite_without_room_is_put_off_and_its_new_records_are_appended() {
-    let files = limited();
-    let (mut wal, _) = open(&files, &disk_space(), "wal");
+fn given_no_space_for_a_rewrite_then_it_is_postponed_and_its_new_records_are_appended() {
+    let disk = limited_disk();
+    let (mut wal, _) = open(&disk, &disk_space(), "wal");
     wal.append(&record(1, 3000)).unwrap();
-    // It pays, but the copy has no room beside the file.
+    // It is worthwhile, but there is no space for a second file.
     let records = [record(9, 1200), record(2, 50)].concat();
     assert_eq!(wal.compact(&records, 1).unwrap(), CompactionOutcome::Postponed);
-    assert_eq!(survivors(&files, "wal"), [record(1, 3000), record(2, 50)].concat());
-    assert_eq!(files.used(), 3050 + 2 * HEADER);
+    assert_eq!(survivors(&disk, "wal"), [record(1, 3000), record(2, 50)].concat());
+    assert_eq!(disk.used(), 3050 + 2 * HEADER_BYTES);
 }
 
 #[test]
-fn a_disk_smaller_than_told_puts_a_rewrite_off_too() {
-    let files = limited();
+fn given_a_disk_smaller_than_its_capacity_says_then_a_rewrite_is_postponed() {
+    let disk = limited_disk();
     let disk_space = Arc::new(DiskSpace::new(1 << 20));
-    let (mut wal, _) = open(&files, &disk_space, "wal");
+    let (mut wal, _) = open(&disk, &disk_space, "wal");
     wal.append(&record(1, 3000)).unwrap();
     let records = [record(9, 1200), record(2, 50)].concat();
     assert_eq!(wal.compact(&records, 1).unwrap(), CompactionOutcome::Postponed);
-    assert_eq!(files.used(), 3050 + 2 * HEADER, "half a rewrite takes no room");
-    assert_eq!(disk_space.free(), (1 << 20) - files.used() as u64, "its reservation is given back");
+    assert_eq!(disk.used(), 3050 + 2 * HEADER_BYTES, "half a rewrite takes no space");
+    assert_eq!(disk_space.free(), (1 << 20) - disk.used() as u64, "its reservation is given back");
 }
 
 #[test]
-fn a_rewrite_that_does_not_pay_is_put_off() {
-    let files = limited();
-    let (mut wal, _) = open(&files, &disk_space(), "wal");
+fn given_a_rewrite_that_is_not_worthwhile_then_it_is_postponed() {
+    let disk = limited_disk();
+    let (mut wal, _) = open(&disk, &disk_space(), "wal");
     wal.append(&record(1, 500)).unwrap();
     let records = [record(9, 400), record(2, 50)].concat();
     assert_eq!(wal.compact(&records, 1).unwrap(), CompactionOutcome::Postponed);
-    assert_eq!(wal.length(), 550 + 2 * HEADER as u64);
+    assert_eq!(wal.length(), 550 + 2 * HEADER_BYTES as u64);
     let records = [record(9, 100), record(2, 50)].concat();
     assert_eq!(wal.compact(&records, 1).unwrap(), CompactionOutcome::Rewritten);
-    assert_eq!(survivors(&files, "wal"), records);
+    assert_eq!(survivors(&disk, "wal"), records);
 }
 
 #[test]
-fn two_logs_of_a_disk_rewrite_only_with_room_for_both() {
-    let files = limited();
+fn given_two_logs_on_a_disk_then_they_rewrite_only_with_space_for_both() {
+    let disk = limited_disk();
     let disk_space = disk_space();
-    let (mut one, _) = open(&files, &disk_space, "one");
-    let (mut two, _) = open(&files, &disk_space, "two");
+    let (mut one, _) = open(&disk, &disk_space, "one");
+    let (mut two, _) = open(&disk, &disk_space, "two");
     one.append(&record(1, 1400)).unwrap();
     two.append(&record(2, 1400)).unwrap();
-    assert_eq!(disk_space.free(), (CAPACITY - files.used()) as u64);
-    // 1256 bytes are free, of which 128 are kept back.
+    assert_eq!(disk_space.free(), (CAPACITY - disk.used()) as u64);
+    // 1256 bytes are free, of which 128 are reserved for appends.
     assert!(one.rewrite(&record(3, 1300)).is_err());
     assert_eq!(
         one.compact(&[record(3, 1150), record(4, 10)].concat(), 1).unwrap(),
@@ -158,236 +158,236 @@
         two.compact(&[record(5, 700), record(6, 10)].concat(), 1).unwrap(),
         CompactionOutcome::Rewritten
     );
-    assert_eq!(disk_space.free(), (CAPACITY - files.used()) as u64);
-    assert_eq!(survivors(&files, "one"), [record(3, 600), record(4, 10)].concat());
-    assert_eq!(survivors(&files, "two"), [record(5, 700), record(6, 10)].concat());
+    assert_eq!(disk_space.free(), (CAPACITY - disk.used()) as u64);
+    assert_eq!(survivors(&disk, "one"), [record(3, 600), record(4, 10)].concat());
+    assert_eq!(survivors(&disk, "two"), [record(5, 700), record(6, 10)].concat());
 }
 
 #[test]
-fn room_that_one_log_frees_lets_another_go_on() {
-    let files = limited();
+fn given_a_log_that_waits_for_space_when_another_frees_some_then_it_goes_on() {
+    let disk = limited_disk();
     let disk_space = disk_space();
-    let (mut one, _) = open(&files, &disk_space, "one");
-    let (two, _) = open(&files, &disk_space, "two");
+    let (mut one, _) = open(&disk, &disk_space, "one");
+    let (two, _) = open(&disk, &disk_space, "two");
     one.append(&record(1, 3000)).unwrap();
-    let (writer, reports) = started(two);
+    let (writer, events) = start(two);
     writer.append(1, record(2, 2000));
-    failing(&reports);
+    expect_failing(&events);
     one.rewrite(&record(3, 100)).unwrap();
-    recovered(&reports);
-    assert_eq!(done(&reports).ticket, 1);
-    assert_eq!(survivors(&files, "two"), record(2, 2000));
+    expect_recovered(&events);
+    assert_eq!(expect_synced(&events).ticket, 1);
+    assert_eq!(survivors(&disk, "two"), record(2, 2000));
 }
 
 #[test]
-fn a_later_rewrite_makes_room_for_itself_where_appends_wait() {
-    let files = limited();
-    let (mut wal, _) = open(&files, &disk_space(), "wal");
+fn given_appends_that_wait_for_space_when_a_compaction_follows_then_it_goes_first() {
+    let disk = limited_disk();
+    let (mut wal, _) = open(&disk, &disk_space(), "wal");
     wal.append(&record(1, 2500)).unwrap();
-    let (writer, reports) = started(wal);
+    let (writer, events) = start(wal);
     writer.append(2, record(2, 2000));
-    failing(&reports);
-    let whole = [record(9, 300), record(3, 50)].concat();
-    writer.compact(3, whole.clone(), 1);
-    recovered(&reports);
-    let told = done(&reports);
-    assert_eq!((told.ticket, told.compaction), (3, Some(CompactionOutcome::Rewritten)));
-    assert_eq!(survivors(&files, "wal"), whole);
+    expect_failing(&events);
+    let compacted_to = [record(9, 300), record(3, 50)].concat();
+    writer.compact(3, compacted_to.clone(), 1);
+    expect_recovered(&events);
+    let synced = expect_synced(&events);
+    assert_eq!((synced.ticket, synced.compaction), (3, Some(CompactionOutcome::Rewritten)));
+    assert_eq!(survivors(&disk, "wal"), compacted_to);
 }
 
 #[test]
-fn a_stalled_disk_holds_up_no_caller_and_is_told_of_nothing_early() {
-    let files = limited();
-    let (wal, _) = open(&files, &disk_space(), "wal");
-    let (writer, reports) = started(wal);
-    files.set_stalled(true);
+fn given_a_stalled_disk_then_no_caller_waits_and_nothing_is_reported_early() {
+    let disk = limited_disk();
+    let (wal, _) = open(&disk, &disk_space(), "wal");
+    let (writer, events) = start(wal);
+    disk.set_stalled(true);
     writer.append(1, record(1, 10));
     writer.append(2, record(2, 10));
-    assert!(reports.try_recv().is_err());
-    assert!(survivors(&files, "wal").is_empty());
-    files.set_stalled(false);
-    while done(&reports).ticket < 2 {}
-    assert_eq!(survivors(&files, "wal"), [record(1, 10), record(2, 10)].concat());
+    assert!(events.try_recv().is_err());
+    assert!(survivors(&disk, "wal").is_empty());
+    disk.set_stalled(false);
+    while expect_synced(&events).ticket < 2 {}
+    assert_eq!(survivors(&disk, "wal"), [record(1, 10), record(2, 10)].concat());
 }
 
 #[test]
-fn a_log_is_made_once_the_disk_lets_it() {
-    let files = limited();
-    files.set_refusing(true);
-    let (told, reports) = mpsc::channel();
-    let (disk, shared) = (files.clone(), disk_space());
-    let open_it = move || Ok(Wal::open_with(disk.clone(), shared.clone(), Path::new("/data"), "wal")?.0);
+fn given_a_disk_that_refuses_when_it_recovers_then_the_log_is_created() {
+    let disk = limited_disk();
+    disk.set_refusing(true);
+    let (sender, events) = mpsc::channel();
+    let (opened, shared) = (disk.clone(), disk_space());
+    let open_it = move || Ok(Wal::open_with(opened.clone(), shared.clone(), Path::new("/data"), "wal")?.0);
     let writer =
-        Writer::open(disk_space(), open_it, move |report| told.send(report).expect("the test listens"));
+        Writer::open(disk_space(), open_it, move |event| sender.send(event).expect("the test listens"));
     writer.append(1, record(1, 10));
-    failing(&reports);
-    files.set_refusing(false);
-    recovered(&reports);
-    assert_eq!(done(&reports).ticket, 1);
-    assert_eq!(survivors(&files, "wal"), record(1, 10));
+    expect_failing(&events);
+    disk.set_refusing(false);
+    expect_recovered(&events);
+    assert_eq!(expect_synced(&events).ticket, 1);
+    assert_eq!(survivors(&disk, "wal"), record(1, 10));
 }
 
 #[test]
-fn a_thread_that_nobody_waits_for_ends_on_a_disk_that_refuses() {
-    let files = limited();
-    let (wal, _) = open(&files, &disk_space(), "wal");
-    let (writer, reports) = started(wal);
-    files.set_refusing(true);
+fn given_a_disk_that_refuses_when_the_writer_is_dropped_then_its_thread_ends() {
+    let disk = limited_disk();
+    let (wal, _) = open(&disk, &disk_space(), "wal");
+    let (writer, events) = start(wal);
+    disk.set_refusing(true);
     writer.append(1, record(1, 10));
-    failing(&reports);
+    expect_failing(&events);
     drop(writer);
-    assert!(reports.recv().is_err());
+    assert!(events.recv().is_err());
 }
 
 #[test]
-fn a_log_that_is_removed_gives_its_room_back() {
-    let files = limited();
+fn given_a_log_when_it_is_removed_then_its_space_is_free_again() {
+    let disk = limited_disk();
     let disk_space = disk_space();
-    let (mut earlier, _) = open(&files, &disk_space, "earlier");
+    let (mut earlier, _) = open(&disk, &disk_space, "earlier");
     earlier.append(&record(1, 2500)).unwrap();
-    let (mut later, _) = open(&files, &disk_space, "later");
+    let (mut later, _) = open(&disk, &disk_space, "later");
     assert!(later.compact(&record(2, 2500), 0).is_err());
     earlier.remove().unwrap();
     assert_eq!(disk_space.free(), CAPACITY as u64);
     assert_eq!(later.compact(&record(2, 2500), 0).unwrap(), CompactionOutcome::Rewritten);
-    assert_eq!(disk_space.free(), (CAPACITY - files.used()) as u64);
+    assert_eq!(disk_space.free(), (CAPACITY - disk.used()) as u64);
 }
 
 #[test]
-fn a_log_that_is_opened_again_counts_once() {
-    let files = limited();
+fn given_a_log_when_it_is_opened_again_then_its_bytes_count_once() {
+    let disk = limited_disk();
     let disk_space = disk_space();
-    let (mut wal, _) = open(&files, &disk_space, "wal");
+    let (mut wal, _) = open(&disk, &disk_space, "wal");
     wal.append(&record(1, 1000)).unwrap();
     drop(wal);
     assert_eq!(disk_space.free(), CAPACITY as u64);
-    let (_wal, records) = open(&files, &disk_space, "wal");
+    let (_wal, records) = open(&disk, &disk_space, "wal");
     assert_eq!(records, record(1, 1000));
-    assert_eq!(disk_space.free(), (CAPACITY - files.used()) as u64);
+    assert_eq!(disk_space.free(), (CAPACITY - disk.used()) as u64);
 }
 
 /// Also where its thread is in the middle of something and has more to do.
 #[test]
-fn a_log_given_up_leaves_neither_file_nor_room_behind() {
-    let files = limited();
+fn given_a_writer_with_pending_work_when_it_is_removed_then_neither_file_nor_space_stays_in_use() {
+    let disk = limited_disk();
     let disk_space = disk_space();
-    let (mut wal, _) = open(&files, &disk_space, "wal");
+    let (mut wal, _) = open(&disk, &disk_space, "wal");
     wal.append(&record(1, 1000)).unwrap();
-    let (writer, reports) = started(wal);
-    files.set_stalled(true);
+    let (writer, events) = start(wal);
+    disk.set_stalled(true);
     writer.append(1, record(2, 100));
     writer.compact(2, record(3, 500), 0);
     writer.remove();
-    files.set_stalled(false);
-    while reports.recv().is_ok() {}
-    assert_eq!((files.used(), disk_space.free()), (0, CAPACITY as u64));
+    disk.set_stalled(false);
+    while events.recv().is_ok() {}
+    assert_eq!((disk.used(), disk_space.free()), (0, CAPACITY as u64));
 }
 
 #[test]
-fn a_log_given_up_on_a_disk_that_refuses_lets_its_thread_end() {
-    let files = limited();
+fn given_a_disk_that_refuses_when_a_writer_is_removed_then_its_thread_ends() {
+    let disk = limited_disk();
     let disk_space = disk_space();
-    let (wal, _) = open(&files, &disk_space, "wal");
-    let (writer, reports) = started(wal);
-    files.set_refusing(true);
+    let (wal, _) = open(&disk, &disk_space, "wal");
+    let (writer, events) = start(wal);
+    disk.set_refusing(true);
     writer.append(1, record(1, 10));
-    failing(&reports);
+    expect_failing(&events);
     writer.remove();
-    assert!(reports.recv().is_err());
+    assert!(events.recv().is_err());
     assert_eq!(disk_space.free(), CAPACITY as u64);
 }
 
-/// A disk that refused and has a little room takes what fits, in order, though far more waits.
+/// A disk that refused and has a little space takes what fits, in order, though far more waits.
 #[test]
-fn appends_that_fit_are_written_though_more_waits_than_fits() {
-    const EACH: usize = 100 + HEADER;
+fn given_more_appends_than_fit_then_those_that_fit_are_written() {
+    const EACH: usize = 100 + HEADER_BYTES;
     const FIT: u64 = (CAPACITY / EACH) as u64;
-    let files = limited();
-    let (wal, _) = open(&files, &disk_space(), "wal");
-    let (writer, reports) = started(wal);
-    files.set_refusing(true);
+    let disk = limited_disk();
+    let (wal, _) = open(&disk, &disk_space(), "wal");
+    let (writer, events) = start(wal);
+    disk.set_refusing(true);
     for ticket in 1..=2 * FIT {
         writer.append(ticket, record(ticket as u8, 100));
     }
-    failing(&reports);
-    files.set_refusing(false);
-    recovered(&reports);
+    expect_failing(&events);
+    disk.set_refusing(false);
+    expect_recovered(&events);
     let (mut written, mut writes) = (0, 0);
     while written < FIT {
-        let told = done(&reports);
+        let synced = expect_synced(&events);
         writes += 1;
-        assert!(told.ticket > written && told.ticket <= FIT, "{told:?}");
-        assert_eq!(told.length, told.ticket * EACH as u64);
-        written = told.ticket;
+        assert!(synced.ticket > written && synced.ticket <= FIT, "{synced:?}");
+        assert_eq!(synced.length, synced.ticket * EACH as u64);
+        written = synced.ticket;
     }
     assert!(writes <= 10, "it takes twice as many at once after each success: {writes} writes");
-    failing(&reports);
-    files.set_capacity(None);
-    recovered(&reports);
+    expect_failing(&events);
+    disk.set_capacity(None);
+    expect_recovered(&events);
     while written < 2 * FIT {
-        written = done(&reports).ticket;
+        written = expect_synced(&events).ticket;
     }
     let all: Records = (1..=2 * FIT).flat_map(|ticket| record(ticket as u8, 100)).collect();
-    assert_eq!(survivors(&files, "wal"), all);
+    assert_eq!(survivors(&disk, "wal"), all);
 }
 
-/// What waits is written in parts: a short record is not held up by many megabytes behind it.
+/// What waits is written in parts: a short record is not expected up by many megabytes behind it.
 #[test]
-fn no_append_is_merged_with_more_than_a_megabyte() {
+fn given_many_waiting_appends_then_none_is_merged_with_more_than_a_megabyte() {
     const EACH: usize = 300_000;
     const COUNT: u64 = 20;
-    let files = TestFiles::default();
+    let disk = TestDisk::default();
     let disk_space = Arc::new(DiskSpace::new(1 << 30));
-    let (wal, _) = open(&files, &disk_space, "wal");
-    let (writer, reports) = started(wal);
-    files.set_stalled(true);
+    let (wal, _) = open(&disk, &disk_space, "wal");
+    let (writer, events) = start(wal);
+    disk.set_stalled(true);
     for ticket in 1..=COUNT {
         writer.append(ticket, record(ticket as u8, EACH));
     }
-    files.set_stalled(false);
+    disk.set_stalled(false);
     let (mut written, mut length) = (0, 0);
     while written < COUNT {
-        let told = done(&reports);
-        assert!(told.length - length <= 1 << 20, "{told:?} after {length} bytes");
-        (written, length) = (told.ticket, told.length);
+        let synced = expect_synced(&events);
+        assert!(synced.length - length <= 1 << 20, "{synced:?} after {length} bytes");
+        (written, length) = (synced.ticket, synced.length);
     }
-    assert_eq!(length, COUNT * (EACH + HEADER) as u64);
+    assert_eq!(length, COUNT * (EACH + HEADER_BYTES) as u64);
 }
 
 /// Full during an append, during a rewrite and between, at every size of disk; power goes after each.
 #[test]
-fn no_size_of_disk_loses_what_was_acknowledged() {
+fn given_a_disk_of_any_size_then_nothing_acknowledged_is_lost() {
     for capacity in 0..600 {
-        let files = TestFiles::default();
+        let disk = TestDisk::default();
         let disk_space = Arc::new(DiskSpace::new(1 << 20));
-        let (mut wal, _) = open(&files, &disk_space, "wal");
-        files.set_capacity(Some(capacity));
-        let mut held = Records::new();
+        let (mut wal, _) = open(&disk, &disk_space, "wal");
+        disk.set_capacity(Some(capacity));
+        let mut expected = Records::new();
         for step in 0..12_u8 {
-            let fresh = record(step, 40);
-            let before = held.clone();
-            let kept = if step % 4 == 3 {
-                let whole = [record(100 + step, 60), fresh.clone()].concat();
-                let compacted = wal.compact(&whole, 1);
+            let replacement = record(step, 40);
+            let before = expected.clone();
+            let is_done = if step % 4 == 3 {
+                let compacted_to = [record(100 + step, 60), replacement.clone()].concat();
+                let compacted = wal.compact(&compacted_to, 1);
                 match compacted {
-                    Ok(CompactionOutcome::Rewritten) => held = whole,
-                    Ok(CompactionOutcome::Postponed) => held.extend(fresh),
+                    Ok(CompactionOutcome::Rewritten) => expected = compacted_to,
+                    Ok(CompactionOutcome::Postponed) => expected.extend(replacement),
                     Err(_) => {}
                 }
                 compacted.is_ok()
             } else {
-                let appended = wal.append(&fresh);
+                let appended = wal.append(&replacement);
                 if appended.is_ok() {
-                    held.extend(fresh);
+                    expected.extend(replacement);
                 }
                 appended.is_ok()
             };
-            assert!(kept || held == before);
-            assert_eq!(survivors(&files, "wal"), held, "{capacity} bytes, step {step}");
+            assert!(is_done || expected == before);
+            assert_eq!(survivors(&disk, "wal"), expected, "{capacity} bytes, step {step}");
         }
-        files.set_capacity(None);
+        disk.set_capacity(None);
         wal.append(&record(200, 40)).unwrap();
-        held.extend(record(200, 40));
-        assert_eq!(survivors(&files, "wal"), held, "{capacity} bytes, room again");
+        expected.extend(record(200, 40));
+        assert_eq!(survivors(&disk, "wal"), expected, "{capacity} bytes, space again");
     }
 }
--- a/crates/wal/tests/faults/sources.rs
+++ b/crates/wal/tests/faults/sources.rs
@@ -1,5 +1,5 @@
-//! Rewrites whose records are made while they are written: nothing is held, all is made anew where the disk refuses, and the room
-//! that they take is what they have come to.
+//! Rewrites whose records are made while they are written: none is kept in memory, all are made again where the disk refuses, and
+//! the space that they take is what was written.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,23 +8,23 @@
 use bytes::Bytes;
 use rainlug_wal::{CompactionOutcome, DiskSpace, RecordSource, Wal, Writer, WriterEvent};
 
-use crate::files::TestFiles;
+use crate::disk::TestDisk;
 
 const CAPACITY: u64 = 1 << 20;
 /// Bytes before the payload of a record.
-const HEADER: u64 = 20;
+const HEADER_BYTES: u64 = 20;
 const RECORDS: usize = 100;
 const RECORD: usize = 1_000;
 
 /// Records that are made when they are asked for, and how many were.
 #[derive(Clone)]
-struct Made {
+struct GeneratedRecords {
     made: Arc<AtomicUsize>,
     /// What it says of its size.
     size: u64,
 }
 
-impl Made {
+impl GeneratedRecords {
     fn new(size: u64) -> Self {
         Self { made: Arc::default(), size }
     }
@@ -33,7 +33,7 @@
     }
 }
 
-impl RecordSource for Made {
+impl RecordSource for GeneratedRecords {
     fn count(&self) -> usize {
         RECORDS
     }
@@ -46,12 +46,12 @@
     }
 }
 
-fn whole() -> Vec<Bytes> {
+fn all_records() -> Vec<Bytes> {
     (0..RECORDS).map(|number| Bytes::from(vec![number as u8; RECORD])).collect()
 }
 
-fn open(files: &TestFiles, disk_space: &Arc<DiskSpace>) -> (Wal<TestFiles>, Vec<Bytes>) {
-    Wal::open_with(files.clone(), disk_space.clone(), Path::new("/data"), "wal").expect("a disk that works")
+fn open(disk: &TestDisk, disk_space: &Arc<DiskSpace>) -> (Wal<TestDisk>, Vec<Bytes>) {
+    Wal::open_with(disk.clone(), disk_space.clone(), Path::new("/data"), "wal").expect("a disk that works")
 }
 
 fn disk_space() -> Arc<DiskSpace> {
@@ -59,49 +59,49 @@
 }
 
 #[test]
-fn given_a_disk_that_refuses_when_it_takes_calls_again_then_the_source_is_walked_over_once_more() {
+fn given_a_disk_that_refuses_when_it_recovers_then_the_source_is_read_again() {
     const EXACT: u64 = (RECORDS * RECORD) as u64;
-    let files = TestFiles::default();
-    let (wal, _) = open(&files, &disk_space());
-    // Given room for half of the rewrite.
-    files.set_capacity(Some(RECORDS * RECORD / 2));
-    let (told, reports) = mpsc::channel();
-    let writer = Writer::start(wal, move |report| told.send(report).expect("the test listens"));
-    let source = Made::new(EXACT);
+    let disk = TestDisk::default();
+    let (wal, _) = open(&disk, &disk_space());
+    // Given space for half of the rewrite.
+    disk.set_capacity(Some(RECORDS * RECORD / 2));
+    let (sender, events) = mpsc::channel();
+    let writer = Writer::start(wal, move |event| sender.send(event).expect("the test listens"));
+    let source = GeneratedRecords::new(EXACT);
     writer.compact(1, source.clone(), 0);
-    assert!(matches!(reports.recv().expect("it lives"), WriterEvent::Failing(_)));
-    files.set_capacity(None);
-    let done = loop {
-        match reports.recv().expect("it lives") {
-            WriterEvent::Synced(done) => break done,
+    assert!(matches!(events.recv().expect("it lives"), WriterEvent::Failing(_)));
+    disk.set_capacity(None);
+    let synced = loop {
+        match events.recv().expect("it lives") {
+            WriterEvent::Synced(synced) => break synced,
             WriterEvent::Recovered => {}
-            WriterEvent::Failing(error) => panic!("told of twice: {error}"),
+            WriterEvent::Failing(error) => panic!("reported twice: {error}"),
         }
     };
-    assert_eq!((done.ticket, done.compaction), (1, Some(CompactionOutcome::Rewritten)));
-    assert_eq!(done.length, EXACT + RECORDS as u64 * HEADER);
+    assert_eq!((synced.ticket, synced.compaction), (1, Some(CompactionOutcome::Rewritten)));
+    assert_eq!(synced.length, EXACT + RECORDS as u64 * HEADER_BYTES);
     assert!(source.made() > RECORDS, "{} records made", source.made());
-    assert_eq!(open(&files.after_kill(), &disk_space()).1, whole());
+    assert_eq!(open(&disk.after_kill(), &disk_space()).1, all_records());
 }
 
 #[test]
-fn given_a_rewrite_that_is_put_off_when_all_is_implied_then_no_record_is_made() {
-    let files = TestFiles::default();
-    let (mut wal, _) = open(&files, &disk_space());
+fn given_a_postponed_rewrite_when_all_is_implied_then_no_record_is_made() {
+    let disk = TestDisk::default();
+    let (mut wal, _) = open(&disk, &disk_space());
     wal.append(&[Bytes::from("short")]).expect("a disk that works");
-    let source = Made::new((RECORDS * RECORD) as u64);
-    assert_eq!(wal.compact(&source, RECORDS).expect("put off"), CompactionOutcome::Postponed);
+    let source = GeneratedRecords::new((RECORDS * RECORD) as u64);
+    assert_eq!(wal.compact(&source, RECORDS).expect("postponed"), CompactionOutcome::Postponed);
     assert_eq!(source.made(), 0);
 }
 
 #[test]
-fn given_a_source_that_tells_a_wrong_size_when_it_is_written_then_the_room_in_use_is_what_was_written() {
-    for told in [0, (RECORDS * RECORD) as u64, 3 * (RECORDS * RECORD) as u64] {
-        let (files, disk_space) = (TestFiles::default(), disk_space());
-        let (mut wal, _) = open(&files, &disk_space);
+fn given_a_source_with_a_wrong_size_when_it_is_written_then_the_space_in_use_is_what_was_written() {
+    for claimed in [0, (RECORDS * RECORD) as u64, 3 * (RECORDS * RECORD) as u64] {
+        let (disk, disk_space) = (TestDisk::default(), disk_space());
+        let (mut wal, _) = open(&disk, &disk_space);
         wal.append(&[Bytes::from(vec![1; 5_000])]).expect("a disk that works");
-        wal.rewrite(&Made::new(told)).expect("there is room");
-        assert_eq!(disk_space.free(), CAPACITY - wal.length(), "{told}");
-        assert_eq!(wal.length(), (RECORDS * RECORD) as u64 + RECORDS as u64 * HEADER);
+        wal.rewrite(&GeneratedRecords::new(claimed)).expect("there is space");
+        assert_eq!(disk_space.free(), CAPACITY - wal.length(), "{claimed}");
+        assert_eq!(wal.length(), (RECORDS * RECORD) as u64 + RECORDS as u64 * HEADER_BYTES);
     }
 }
--- a/crates/wal/tests/records.rs
+++ b/crates/wal/tests/records.rs
@@ -1,4 +1,4 @@
-//! What a log keeps over losses of power, and what its thread does with it.
+//! What a log keeps over losses of power, and what its writer's thread does with it.
 
 use std::fs;
 use std::path::Path;
@@ -10,7 +10,7 @@
 use rainlug_wal::{CompactionOutcome, Error, Synced, Wal, Writer, WriterEvent};
 
 /// Bytes before the payload of a record.
-const HEADER: usize = 20;
+const HEADER_BYTES: usize = 20;
 
 fn texts(all: &[&str]) -> Vec<Bytes> {
     all.iter().map(|text| Bytes::copy_from_slice(text.as_bytes())).collect()
@@ -20,9 +20,9 @@
     Wal::open(dir, "wal").expect("a wal")
 }
 
-fn kept(report: WriterEvent) -> Synced {
-    match report {
-        WriterEvent::Synced(done) => done,
+fn expect_synced(event: WriterEvent) -> Synced {
+    match event {
+        WriterEvent::Synced(synced) => synced,
         other => panic!("{other:?}"),
     }
 }
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn records_come_back_in_order() {
+fn given_appended_records_when_the_log_is_opened_again_then_they_come_back_in_order() {
     let dir = tempfile::tempdir().unwrap();
     let (mut wal, found) = open(dir.path());
     assert!(found.is_empty());
@@ -40,7 +40,7 @@
     wal.append(&texts(&["a", "", "ccc"])).unwrap();
     wal.append(&[]).unwrap();
     wal.append(&texts(&["dd"])).unwrap();
-    assert_eq!(wal.length(), (4 * HEADER + 6) as u64);
+    assert_eq!(wal.length(), (4 * HEADER_BYTES + 6) as u64);
     assert_eq!(fs::metadata(dir.path().join("wal")).unwrap().len(), wal.length());
     drop(wal);
 
@@ -51,19 +51,19 @@
 }
 
 #[test]
-fn a_tail_cut_anywhere_loses_of_the_last_batch_alone() {
+fn given_a_tail_torn_anywhere_then_only_records_of_the_last_batch_are_lost() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("wal");
     let (mut wal, _) = open(dir.path());
     wal.append(&texts(&["first", "second"])).unwrap();
     let synced = wal.length() as usize;
     wal.append(&texts(&["third", "fourth"])).unwrap();
-    let whole = fs::read(&path).unwrap();
-    let third = synced + HEADER + 5;
-    for cut in synced..=whole.len() {
-        fs::write(&path, &whole[..cut]).unwrap();
+    let complete = fs::read(&path).unwrap();
+    let third = synced + HEADER_BYTES + 5;
+    for cut in synced..=complete.len() {
+        fs::write(&path, &complete[..cut]).unwrap();
         let (mut wal, found) = open(dir.path());
-        let count = 2 + usize::from(cut >= third) + usize::from(cut == whole.len());
+        let count = 2 + usize::from(cut >= third) + usize::from(cut == complete.len());
         assert_eq!(found, texts(&["first", "second", "third", "fourth"][..count]), "cut at {cut}");
         // What is appended then stands after what was found, and a second loss of power does no more.
         wal.append(&texts(&["next"])).unwrap();
@@ -73,14 +73,14 @@
         let length = wal.length();
         wal.append(&texts(&["torn", "too"])).unwrap();
         let mut bytes = fs::read(&path).unwrap();
-        bytes[length as usize..][..HEADER].fill(0);
+        bytes[length as usize..][..HEADER_BYTES].fill(0);
         fs::write(&path, bytes).unwrap();
         assert_eq!(records(dir.path()), all, "cut at {cut}");
     }
 }
 
 #[test]
-fn pages_of_the_last_batch_may_be_missing_in_any_order() {
+fn given_missing_pages_of_the_last_batch_then_only_its_records_are_lost() {
     const PAGE: usize = 4096;
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("wal");
@@ -88,14 +88,14 @@
     let first = Bytes::from(vec![1; 3 * PAGE / 2]);
     wal.append(std::slice::from_ref(&first)).unwrap();
     let synced = wal.length() as usize;
-    wal.append(&(2..12).map(|i| Bytes::from(vec![i; PAGE / 2 - HEADER])).collect::<Vec<_>>()).unwrap();
-    let whole = fs::read(&path).unwrap();
-    let pages = whole.len().div_ceil(PAGE);
+    wal.append(&(2..12).map(|i| Bytes::from(vec![i; PAGE / 2 - HEADER_BYTES])).collect::<Vec<_>>()).unwrap();
+    let complete = fs::read(&path).unwrap();
+    let pages = complete.len().div_ceil(PAGE);
     for missing in 1..1_u32 << (pages - 1) {
-        let mut bytes = whole.clone();
+        let mut bytes = complete.clone();
         for page in (1..pages).filter(|page| missing >> (page - 1) & 1 == 1) {
             let from = (page * PAGE).max(synced);
-            bytes[from..((page + 1) * PAGE).min(whole.len())].fill(0);
+            bytes[from..((page + 1) * PAGE).min(complete.len())].fill(0);
         }
         fs::write(&path, bytes).unwrap();
         let found = records(dir.path());
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn damage_in_the_middle_is_named() {
+fn given_damage_before_a_later_batch_then_opening_names_it_and_changes_nothing() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("wal");
     let (mut wal, _) = open(dir.path());
@@ -115,9 +115,9 @@
     wal.append(&texts(&["second"])).unwrap();
     let third = wal.length();
     wal.append(&texts(&["third"])).unwrap();
-    let whole = fs::read(&path).unwrap();
+    let complete = fs::read(&path).unwrap();
     for at in second..third {
-        let mut bytes = whole.clone();
+        let mut bytes = complete.clone();
         bytes[at as usize] ^= 0x10;
         fs::write(&path, &bytes).unwrap();
         match Wal::open(dir.path(), "wal") {
@@ -130,20 +130,20 @@
 }
 
 #[test]
-fn a_rewritten_record_is_damaged_and_not_torn() {
+fn given_a_changed_byte_of_a_rewritten_record_then_it_is_damage_and_no_torn_tail() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("wal");
     let (mut wal, _) = open(dir.path());
     wal.rewrite(&texts(&["first", "second", "third"])).unwrap();
     let mut bytes = fs::read(&path).unwrap();
-    bytes[HEADER + 5 + HEADER] ^= 1;
+    bytes[HEADER_BYTES + 5 + HEADER_BYTES] ^= 1;
     fs::write(&path, bytes).unwrap();
-    let offset = (HEADER + 5) as u64;
+    let offset = (HEADER_BYTES + 5) as u64;
     assert!(matches!(Wal::open(dir.path(), "wal"), Err(Error::Damaged(_, at)) if at == offset));
 }
 
 #[test]
-fn a_record_within_a_torn_record_is_no_later_one() {
+fn given_a_record_within_a_torn_payload_then_it_is_not_taken_for_a_later_batch() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("wal");
     let (mut wal, _) = open(dir.path());
@@ -155,18 +155,18 @@
     let synced = wal.length() as usize;
     wal.append(&[inner.into()]).unwrap();
     let mut bytes = fs::read(&path).unwrap();
-    bytes[synced..][..HEADER].fill(0);
+    bytes[synced..][..HEADER_BYTES].fill(0);
     fs::write(&path, bytes).unwrap();
     assert_eq!(records(dir.path()), texts(&["first"]));
 }
 
 #[test]
-fn a_rewrite_puts_records_in_place_of_all() {
+fn given_a_rewrite_then_its_records_replace_all() {
     let dir = tempfile::tempdir().unwrap();
     let (mut wal, _) = open(dir.path());
     wal.append(&texts(&["a", "b", "c"])).unwrap();
     wal.rewrite(&texts(&["abc"])).unwrap();
-    assert_eq!(wal.length(), (HEADER + 3) as u64);
+    assert_eq!(wal.length(), (HEADER_BYTES + 3) as u64);
     wal.append(&texts(&["d"])).unwrap();
     assert_eq!(records(dir.path()), texts(&["abc", "d"]));
     wal.rewrite(&[]).unwrap();
@@ -174,44 +174,44 @@
 }
 
 #[test]
-fn a_rewrite_broken_off_before_the_rename_leaves_nothing() {
+fn given_a_rewrite_interrupted_before_its_rename_then_nothing_of_it_stays() {
     let dir = tempfile::tempdir().unwrap();
     let (mut wal, _) = open(dir.path());
     wal.append(&texts(&["a", "b"])).unwrap();
     drop(wal);
-    let fresh = dir.path().join("wal.new");
-    fs::write(&fresh, b"half of a rewrite").unwrap();
+    let replacement = dir.path().join("wal.new");
+    fs::write(&replacement, b"half of a rewrite").unwrap();
     assert_eq!(records(dir.path()), texts(&["a", "b"]));
-    assert!(!fresh.exists());
+    assert!(!replacement.exists());
 }
 
 #[test]
-fn a_failed_rewrite_leaves_the_old_file() {
+fn given_a_rewrite_that_fails_then_the_old_file_stands() {
     let dir = tempfile::tempdir().unwrap();
     let (mut wal, _) = open(dir.path());
     wal.append(&texts(&["a"])).unwrap();
-    let fresh = dir.path().join("wal.new");
-    fs::create_dir(&fresh).unwrap();
-    assert!(matches!(wal.rewrite(&texts(&["b"])), Err(Error::Io(named, _)) if named == fresh));
+    let replacement = dir.path().join("wal.new");
+    fs::create_dir(&replacement).unwrap();
+    assert!(matches!(wal.rewrite(&texts(&["b"])), Err(Error::Io(named, _)) if named == replacement));
     wal.append(&texts(&["c"])).unwrap();
-    fs::remove_dir(&fresh).unwrap();
+    fs::remove_dir(&replacement).unwrap();
     assert_eq!(records(dir.path()), texts(&["a", "c"]));
 }
 
 #[test]
-fn a_rewrite_without_space_leaves_the_old_file() {
+fn given_a_rewrite_without_space_then_the_old_file_stands() {
     let dir = tempfile::tempdir().unwrap();
     let (mut wal, _) = open(dir.path());
     wal.append(&texts(&["a"])).unwrap();
     std::os::unix::fs::symlink("/dev/full", dir.path().join("wal.new")).unwrap();
     assert!(matches!(wal.rewrite(&texts(&["b"])), Err(Error::Io(..))));
-    assert_eq!(wal.length(), (HEADER + 1) as u64);
+    assert_eq!(wal.length(), (HEADER_BYTES + 1) as u64);
     wal.append(&texts(&["c"])).unwrap();
     assert_eq!(records(dir.path()), texts(&["a", "c"]));
 }
 
 #[test]
-fn what_cannot_be_opened_is_named() {
+fn given_a_missing_directory_when_opening_then_the_error_names_the_file() {
     let dir = tempfile::tempdir().unwrap();
     let missing = dir.path().join("missing");
     let result = Wal::open(&missing, "wal").map(|_| ());
@@ -220,21 +220,21 @@
 }
 
 #[test]
-fn waiting_appends_go_as_one_and_rewrites_in_their_turn() {
+fn given_waiting_operations_then_appends_are_merged_and_compactions_keep_their_order() {
     let dir = tempfile::tempdir().unwrap();
     let (wal, _) = open(dir.path());
-    let (done, finished) = mpsc::channel();
+    let (sender, events) = mpsc::channel();
     let (go, gate) = mpsc::channel::<()>();
-    let writer = Writer::start(wal, move |report| {
-        let one = kept(report);
+    let writer = Writer::start(wal, move |event| {
+        let one = expect_synced(event);
         let is_first = one.ticket == 1;
-        done.send(one).unwrap();
+        sender.send(one).unwrap();
         if is_first {
             gate.recv().unwrap();
         }
     });
     writer.append(1, texts(&["a"]));
-    assert_eq!(finished.recv().unwrap().ticket, 1);
+    assert_eq!(events.recv().unwrap().ticket, 1);
     // The thread is held up now.
     writer.append(2, texts(&["b"]));
     writer.append(3, texts(&["c", "d"]));
@@ -243,38 +243,41 @@
     writer.append(6, texts(&["f"]));
     go.send(()).unwrap();
     drop(writer);
-    let all: Vec<Synced> = finished.iter().collect();
+    let all: Vec<Synced> = events.iter().collect();
     let compactions: Vec<_> = all.iter().map(|one| one.compaction).collect();
     assert_eq!(compactions, [None, Some(CompactionOutcome::Rewritten), None]);
-    let header = HEADER as u64;
-    let told: Vec<_> = all.iter().map(|one| (one.ticket, one.length)).collect();
-    assert_eq!(told, [(3, 4 * header + 4), (4, header + 4), (6, 3 * header + 6)]);
+    let header = HEADER_BYTES as u64;
+    let reported: Vec<_> = all.iter().map(|one| (one.ticket, one.length)).collect();
+    assert_eq!(reported, [(3, 4 * header + 4), (4, header + 4), (6, 3 * header + 6)]);
     assert_eq!(records(dir.path()), texts(&["abcd", "e", "f"]));
 }
 
-/// A rewrite of what the log does not hold cannot be put off: the thread tries again until it is made, and then goes on.
+/// A rewrite to records that the log does not imply cannot be postponed: the thread retries until it succeeds, and then goes on.
 #[test]
-fn the_thread_tells_of_failures_and_tries_again() {
+fn given_a_rewrite_that_fails_then_the_thread_reports_it_once_and_retries() {
     let dir = tempfile::tempdir().unwrap();
     let (wal, _) = open(dir.path());
-    let fresh = dir.path().join("wal.new");
-    fs::create_dir(&fresh).unwrap();
-    let (done, finished) = mpsc::channel();
-    let writer = Writer::start(wal, move |one| done.send(one).unwrap());
+    let replacement = dir.path().join("wal.new");
+    fs::create_dir(&replacement).unwrap();
+    let (sender, events) = mpsc::channel();
+    let writer = Writer::start(wal, move |one| sender.send(one).unwrap());
     writer.compact(1, texts(&["a"]), 0);
-    let failed = finished.recv().unwrap();
-    assert!(matches!(&failed, WriterEvent::Failing(Error::Io(named, _)) if *named == fresh), "{failed:?}");
+    let failed = events.recv().unwrap();
+    assert!(
+        matches!(&failed, WriterEvent::Failing(Error::Io(named, _)) if *named == replacement),
+        "{failed:?}"
+    );
     writer.append(2, texts(&["b"]));
     assert!(
         fs::read(dir.path().join("wal")).unwrap().is_empty(),
-        "nothing is kept yet, and nothing out of turn"
+        "nothing is written yet, and nothing out of order"
     );
-    fs::remove_dir(&fresh).unwrap();
-    assert!(matches!(finished.recv().unwrap(), WriterEvent::Recovered));
-    let first = kept(finished.recv().unwrap());
-    assert_eq!((first.ticket, first.length), (1, (HEADER + 1) as u64));
-    let second = kept(finished.recv().unwrap());
-    assert_eq!((second.ticket, second.length), (2, 2 * (HEADER + 1) as u64));
+    fs::remove_dir(&replacement).unwrap();
+    assert!(matches!(events.recv().unwrap(), WriterEvent::Recovered));
+    let first = expect_synced(events.recv().unwrap());
+    assert_eq!((first.ticket, first.length), (1, (HEADER_BYTES + 1) as u64));
+    let second = expect_synced(events.recv().unwrap());
+    assert_eq!((second.ticket, second.length), (2, 2 * (HEADER_BYTES + 1) as u64));
     assert_eq!(records(dir.path()), texts(&["a", "b"]));
 }
 
@@ -283,9 +286,9 @@
 
     /// Whatever is written: the batches before the last are all there, and of the last one a beginning.
     #[test]
-    fn only_the_last_batch_can_lose(
+    fn given_any_damage_to_the_last_batch_then_all_earlier_batches_are_found(
         batches in prop::collection::vec(prop::collection::vec(prop::collection::vec(any::<u8>(), 0..600), 1..5), 1..8),
-        harmed in prop::collection::vec((0.0..1.0, 0.0..1.0), 0..4),
+        zeroed in prop::collection::vec((0.0..1.0, 0.0..1.0), 0..4),
         cut in 0.0..1.0,
     ) {
         let dir = tempfile::tempdir().unwrap();
@@ -298,9 +301,9 @@
         }
         let mut bytes = fs::read(&path).unwrap();
         let tail = bytes.len() - synced;
-        for (from, to) in harmed {
-            let place = |part: f64| synced + (part * tail as f64) as usize;
-            let (from, to) = (place(from), place(to));
+        for (from, to) in zeroed {
+            let offset_of = |part: f64| synced + (part * tail as f64) as usize;
+            let (from, to) = (offset_of(from), offset_of(to));
             bytes[from.min(to)..from.max(to)].fill(0);
         }
         bytes.truncate(synced + ((1.0 - cut) * tail as f64) as usize);
@@ -314,7 +317,7 @@
 
     /// A changed byte before the last batch is found, and nothing panics on any bytes.
     #[test]
-    fn a_changed_byte_of_a_synced_batch_is_found(
+    fn given_a_changed_byte_of_a_synced_batch_then_it_is_found(
         sizes in prop::collection::vec(0_usize..400, 2..8),
         at in 0.0..1.0,
         flip in 1_u8..,
