--- a/crates/registry/tests/format.rs
+++ b/crates/registry/tests/format.rs
@@ -65,7 +65,7 @@
     }
 }
 
-fn warming_worker() -> Worker {
+fn cold_worker() -> Worker {
     let address = "[2001:db8::1]:81".parse().expect("an address");
     Worker { address, warm_up_left_ms: 9_000, slots: 16, zone: String::new(), ..worker(4, Phase::Ready, 7) }
 }
@@ -82,7 +82,7 @@
         gossip.publish_document(now, TOPOLOGY, 1, Bytes::from_static(b"groups"), out)
     });
     pair.act(0, |gossip, now, out| gossip.publish_worker(now, worker(3, Phase::Ready, 1), out));
-    pair.act(1, |gossip, now, out| gossip.publish_worker(now, warming_worker(), out));
+    pair.act(1, |gossip, now, out| gossip.publish_worker(now, cold_worker(), out));
     pair.pass(3 * SECOND);
     for (seq, phase) in [(2, Phase::Unresponsive), (3, Phase::Draining), (4, Phase::Gone)] {
         pair.act(0, |gossip, now, out| gossip.publish_worker(now, worker(3, phase, seq), out));
@@ -132,7 +132,7 @@
     assert_eq!(gossip.document(CONFIGURATION), Some((5, &configuration())));
     assert_eq!(gossip.document(TOPOLOGY), Some((1, &Bytes::from_static(b"groups"))));
     let known: Vec<&Worker> = gossip.workers().collect();
-    assert!(known.contains(&&warming_worker()), "{known:?}");
+    assert!(known.contains(&&cold_worker()), "{known:?}");
     assert!(known.iter().all(|worker| worker.id != "i-3"), "it is gone: {known:?}");
 }
 
