--- a/crates/registry/src/gossip.rs
+++ b/crates/registry/src/gossip.rs
@@ -1,6 +1,18 @@
-//! What every process of the tier knows: workers, and newest versions of a few texts (the configuration, the groups of the
-//! parts). Entries are merged by their versions, passed on to a few others when they are news, and gaps are found by comparing
-//! digests. No order and no agreement is needed for that: what needs agreement is agreed on before it is entered here.
+//! A replicated view of the tier: its workers, and the newest version of a few documents (the configuration, the topology).
+//!
+//! Every process has a copy. Updates spread by rumor mongering, as epidemic protocols do (Demers et al., *Epidemic algorithms for
+//! replicated database maintenance*, 1987): the process that learns of one [publishes](Gossip::publish_worker) it to several
+//! peers, these forward it to others, and it is retransmitted to peers that have not acknowledged it. What is lost all the same
+//! is found by anti-entropy: [digests](crate::wire::Digest) of two copies are compared periodically, and each side sends what the
+//! other lacks. Workers that are gone leave tombstones (death certificates) for a while, so that older updates do not bring them
+//! back.
+//!
+//! Entries merge by their versions: the result does not depend on the order in which updates arrive, and copies that exchange
+//! their entries become equal. There is no consensus here. What has to be agreed on, such as the configuration, is agreed on
+//! elsewhere and published here with its version.
+//!
+//! The type does no I/O. Times are in microseconds of a steady clock, effects go to an [`Outgoing`], and all randomness comes from
+//! the seed.
 
 mod digest;
 mod entry;
@@ -20,21 +32,27 @@
 use crate::Worker;
 use crate::wire::Message;
 use crate::worker::MAX_NAME_BYTES;
-use entry::{Entry, entry, hash};
-use pending::{Pending, Subject};
+use entry::Entry;
+use pending::{PendingUpdate, Subject};
 
-/// The text of the configuration in force; of the groups of parts.
+/// The kind of document that holds the configuration in force.
 pub const CONFIGURATION: u8 = 0;
+/// The kind of document that holds the topology: stores and replica sets.
 pub const TOPOLOGY: u8 = 1;
 
+/// How many peers a [catch-up](Gossip::catch_up) compares digests with.
+const CATCH_UP_PEERS: usize = 4;
+/// The least interval between digests.
+const MIN_DIGEST_INTERVAL: Time = 1_000;
+
 /// Where a gossip's effects go.
 pub trait Outgoing {
-    /// Bytes for another process: delivered whole and in order, or not at all.
+    /// Sends a message to a peer. It has to arrive complete and in order behind earlier ones, or not at all.
     fn send(&mut self, to: SocketAddr, bytes: Bytes);
-    /// A worker is new here or has changed.
+    /// A worker is new here or has changed. One that is no longer listed comes with [`Phase::Gone`](crate::Phase::Gone).
     fn worker_changed(&mut self, worker: &Worker);
-    /// A text has a newer version here.
-    fn document_changed(&mut self, kind: u8, version: u64, text: &Bytes);
+    /// A document has a newer version here.
+    fn document_changed(&mut self, kind: u8, version: u64, content: &Bytes);
 }
 
 /// How many of the live peers are known to have an update, by their acknowledgements.
@@ -46,61 +64,61 @@
     pub peers: usize,
 }
 
-/// Others that everything is compared with after a cut.
-const CATCH_UP: usize = 4;
-
-/// One process's copy.
+/// One process's copy of the replicated view.
 pub struct Gossip {
-    slow: Time,
+    digest_interval: Time,
     rng: ChaCha8Rng,
+    /// Sorted.
     peers: Vec<SocketAddr>,
     workers: BTreeMap<String, Entry>,
-    texts: BTreeMap<u8, (u64, Bytes)>,
-    /// The newest version of a text that a peer is known to have.
-    versions: BTreeMap<(u8, SocketAddr), u64>,
-    pending: BTreeMap<Subject, Pending>,
+    /// Version and content by kind.
+    documents: BTreeMap<u8, (u64, Bytes)>,
+    /// The newest version of a document that a peer is known to have.
+    peer_versions: BTreeMap<(u8, SocketAddr), u64>,
+    pending: BTreeMap<Subject, PendingUpdate>,
     next_digest: Time,
-    next_sweep: Time,
-    garbage: u64,
+    next_expiry: Time,
+    malformed: u64,
 }
 
 impl Gossip {
-    /// `slow` is how long a gap may stay before digests are compared with one other, in microseconds.
-    pub fn new(slow: Time, seed: u64, now: Time) -> Self {
-        let mut new = Self {
-            slow: slow.max(1_000),
+    /// An empty copy. `digest_interval`, in microseconds, is about how often digests are compared with one peer; each time it is
+    /// drawn from 80 % to 120 % of that.
+    pub fn new(digest_interval: Time, seed: u64, now: Time) -> Self {
+        let mut gossip = Self {
+            digest_interval: digest_interval.max(MIN_DIGEST_INTERVAL),
             rng: ChaCha8Rng::seed_from_u64(seed),
             peers: Vec::new(),
             workers: BTreeMap::new(),
-            texts: BTreeMap::new(),
-            versions: BTreeMap::new(),
+            documents: BTreeMap::new(),
+            peer_versions: BTreeMap::new(),
             pending: BTreeMap::new(),
             next_digest: now,
-            next_sweep: Time::MAX,
-            garbage: 0,
+            next_expiry: Time::MAX,
+            malformed: 0,
         };
-        new.plan_digest(now);
-        new
+        gossip.schedule_digest(now);
+        gossip
     }
 
-    /// The other processes that live now, by membership (addresses of their peer ports).
+    /// Sets the other live processes, by membership (the addresses of their peer ports). What is known of others is dropped.
     pub fn set_peers(&mut self, now: Time, peers: &[SocketAddr]) {
-        let lonely = self.peers.is_empty();
+        let was_alone = self.peers.is_empty();
         self.peers = peers.iter().copied().map(canonical).collect();
         self.peers.sort_unstable();
         self.peers.dedup();
-        let Self { peers, versions, pending, .. } = self;
-        versions.retain(|(_, peer), _| peers.binary_search(peer).is_ok());
-        for news in pending.values_mut() {
-            news.have.retain(|peer| peers.binary_search(peer).is_ok());
+        let Self { peers, peer_versions, pending, .. } = self;
+        peer_versions.retain(|(_, peer), _| peers.binary_search(peer).is_ok());
+        for update in pending.values_mut() {
+            update.acknowledged_by.retain(|peer| peers.binary_search(peer).is_ok());
         }
-        if lonely && !self.peers.is_empty() {
+        if was_alone && !self.peers.is_empty() {
             self.next_digest = now;
         }
     }
 
-    /// What a worker said here. True where it was news. It is passed on at once. Beats that change nothing but the number of the
-    /// call are no news. Refused where a name is longer than 256 bytes.
+    /// Takes over what a worker reported to this process, and publishes it if it is an update; returns whether it is. A heartbeat
+    /// that changes nothing but the number of the call is none. A worker with a name of more than 256 bytes is refused.
     pub fn publish_worker(&mut self, now: Time, mut worker: Worker, out: &mut dyn Outgoing) -> bool {
         if [&worker.id, &worker.service, &worker.zone].iter().any(|name| name.len() > MAX_NAME_BYTES) {
             return false;
@@ -108,116 +126,149 @@
         worker.address = canonical(worker.address);
         let id = worker.id.clone();
         let published_seq = worker.call_seq;
-        let merged = self.merge(now, entry(now, worker, published_seq, 0), false, out);
-        if merged.news {
-            self.tell(now, &[], &[id], out);
+        let merged = self.merge(now, Entry::new(now, worker, published_seq, 0), false, out);
+        if merged.is_update() {
+            self.publish(now, Subjects::workers(vec![id]), out);
         }
-        merged.news
+        merged.is_update()
     }
 
-    /// A text that is agreed on, at a version. True where it was newer than what stood here; it is passed on at once.
+    /// Takes over a document that was agreed on at a version, and publishes it if it is newer than the one here; returns whether
+    /// it is.
     pub fn publish_document(
         &mut self,
         now: Time,
         kind: u8,
         version: u64,
-        text: Bytes,
+        content: Bytes,
         out: &mut dyn Outgoing,
     ) -> bool {
-        let news = self.take_text(kind, version, &text, out);
-        if news {
-            self.tell(now, &[kind], &[], out);
+        let is_newer = self.adopt_document(kind, version, &content, out);
+        if is_newer {
+            self.publish(now, Subjects::documents(vec![kind]), out);
         }
-        news
+        is_newer
     }
 
+    /// The newest known version of a document, and its content.
     pub fn document(&self, kind: u8) -> Option<(u64, &Bytes)> {
-        self.texts.get(&kind).map(|(version, text)| (*version, text))
+        self.documents.get(&kind).map(|(version, content)| (*version, content))
     }
 
-    /// The workers by id, without those that said goodbye or have been silent for a minute.
+    /// The listed workers by id: without those that deregistered, and those that have been unresponsive or draining too long.
     pub fn workers(&self) -> impl Iterator<Item = &Worker> {
-        self.workers.values().filter(|entry| !entry.is_tombstoned).map(|entry| &entry.worker)
+        self.workers.values().filter(|entry| !entry.is_delisted).map(|entry| &entry.worker)
     }
 
-    /// Whether all peers that live have said that they have this news (or something newer); how many have, of how many.
+    /// How many peers have said that they have this version of a document or a newer one.
     pub fn document_coverage(&self, kind: u8, version: u64) -> Coverage {
-        let has = |peer: &&SocketAddr| self.versions.get(&(kind, **peer)).is_some_and(|v| *v >= version);
+        let has = |peer: &&SocketAddr| self.peer_versions.get(&(kind, **peer)).is_some_and(|v| *v >= version);
         Coverage { acknowledged: self.peers.iter().filter(has).count(), peers: self.peers.len() }
     }
 
-    /// The same of a worker's last news that was first told here, for a minute from then; none have other news.
+    /// How many peers have said that they have the last update of a worker that was published here; known for a minute. No peer
+    /// counts for an update that was not published here.
     pub fn worker_coverage(&self, id: &str) -> Coverage {
         let peers = self.peers.len();
-        let acknowledged = match self.pending.get(&Subject::Worker(hash(id))) {
-            Some(news) if news.done => peers,
-            Some(news) => news.have.len(),
+        let acknowledged = match self.pending.get(&Subject::worker(id)) {
+            Some(update) if update.is_complete => peers,
+            Some(update) => update.acknowledged_by.len(),
             None => 0,
         };
         Coverage { acknowledged, peers }
     }
 
-    /// Whether a worker's last news was first told here and not all peers are known to have it.
+    /// Whether a worker's last update was published here and not all peers are known to have it.
     pub fn is_worker_propagating(&self, id: &str) -> bool {
-        self.pending.get(&Subject::Worker(hash(id))).is_some_and(|news| !news.done)
+        self.pending.get(&Subject::worker(id)).is_some_and(|update| !update.is_complete)
     }
 
-    /// Whether a peer is known to have a worker's last news; what came from others is known to all peers that live.
-    pub fn is_worker_known_to(&self, id: &str, at: SocketAddr) -> bool {
-        let at = canonical(at);
-        let news = self.pending.get(&Subject::Worker(hash(id)));
-        self.peers.binary_search(&at).is_ok() && news.is_none_or(|news| news.done || news.have.contains(&at))
+    /// Whether a live peer is known to have a worker's last update. One that was not published here counts as known to all.
+    pub fn is_worker_known_to(&self, id: &str, peer: SocketAddr) -> bool {
+        let peer = canonical(peer);
+        let update = self.pending.get(&Subject::worker(id));
+        self.is_peer(&peer)
+            && update.is_none_or(|update| update.is_complete || update.acknowledged_by.contains(&peer))
     }
 
-    /// Messages, or entries in them, that could not be read.
+    /// How many messages, or entries in them, could not be decoded.
     pub fn malformed(&self) -> u64 {
-        self.garbage
+        self.malformed
     }
 
-    /// Bytes from another process's gossip. Garbage is counted and dropped.
+    /// Handles a message from another process. One that cannot be decoded is counted and dropped.
     pub fn receive(&mut self, now: Time, from: SocketAddr, bytes: &[u8], out: &mut dyn Outgoing) {
         let from = canonical(from);
-        match Message::read(bytes) {
-            None => self.garbage += 1,
-            Some(Message::Update(news)) => self.heard_news(now, from, news, out),
-            Some(Message::Ack(ack)) => self.heard_ack(from, &ack),
-            Some(Message::Digest(digest)) => self.heard_digest(now, from, &digest, out),
-            Some(Message::Difference(difference)) => self.heard_difference(now, from, difference, out),
+        match Message::decode(bytes) {
+            None => self.malformed += 1,
+            Some(Message::Update(update)) => self.receive_update(now, from, update, out),
+            Some(Message::Ack(ack)) => self.receive_ack(from, &ack),
+            Some(Message::Digest(digest)) => self.receive_digest(now, from, &digest, out),
+            Some(Message::Difference(difference)) => self.receive_difference(now, from, difference, out),
         }
     }
 
-    /// Compares everything with several others at once: after a cut, a freeze or a start.
+    /// Compares digests with several peers at once: after a partition, a suspended process or a start.
     pub fn catch_up(&mut self, now: Time, out: &mut dyn Outgoing) {
-        let some: Vec<_> = self.peers.choose_multiple(&mut self.rng, CATCH_UP).copied().collect();
+        let some: Vec<_> = self.peers.choose_multiple(&mut self.rng, CATCH_UP_PEERS).copied().collect();
         self.send_digest(now, &some, out);
     }
 
-    /// When `due` wants to be called.
+    /// When [`Gossip::handle_timeout`] is to be called next.
     pub fn next_timeout(&self) -> Time {
-        let pending = self.pending.values().map(|news| news.again.min(news.until));
-        pending.fold(self.next_digest.min(self.next_sweep), Time::min)
+        let pending = self.pending.values().map(|update| update.retransmit_at.min(update.expires_at));
+        pending.fold(self.next_digest.min(self.next_expiry), Time::min)
     }
 
+    /// Does what is due: expires entries, retransmits updates and sends a digest.
     pub fn handle_timeout(&mut self, now: Time, out: &mut dyn Outgoing) {
-        if self.next_sweep <= now {
-            self.sweep(now, out);
+        if self.next_expiry <= now {
+            self.expire_entries(now, out);
         }
-        self.pending.retain(|_, news| news.until > now);
-        self.tell_again(now, out);
+        self.pending.retain(|_, update| update.expires_at > now);
+        self.retransmit(now, out);
         if self.next_digest <= now {
-            self.plan_digest(now);
+            self.schedule_digest(now);
             let one: Vec<_> = self.peers.choose(&mut self.rng).copied().into_iter().collect();
             self.send_digest(now, &one, out);
         }
     }
+
+    fn is_peer(&self, address: &SocketAddr) -> bool {
+        self.peers.binary_search(address).is_ok()
+    }
+}
+
+/// What a message is about.
+#[derive(Debug, Default)]
+struct Subjects {
+    /// Kinds of documents.
+    documents: Vec<u8>,
+    /// Ids of workers.
+    workers: Vec<String>,
+}
+
+impl Subjects {
+    fn documents(documents: Vec<u8>) -> Self {
+        Subjects { documents, workers: Vec::new() }
+    }
+
+    fn workers(workers: Vec<String>) -> Self {
+        Subjects { documents: Vec::new(), workers }
+    }
+
+    fn is_empty(&self) -> bool {
+        self.documents.is_empty() && self.workers.is_empty()
+    }
 }
 
+/// An address as it is compared: an IPv4 address that is mapped to IPv6 as IPv4.
 fn canonical(address: SocketAddr) -> SocketAddr {
     SocketAddr::new(address.ip().to_canonical(), address.port())
 }
 
 fn send(to: &[SocketAddr], message: &Message, out: &mut dyn Outgoing) {
-    if let Some(bytes) = message.write() {
+    if let Some(bytes) = message.encode() {
         for peer in to {
             out.send(*peer, bytes.clone());
         }
--- a/crates/registry/src/gossip/digest.rs
+++ b/crates/registry/src/gossip/digest.rs
@@ -1,4 +1,8 @@
-//! Anti-entropy: digests are compared, and what either side lacks is sent.
+//! Anti-entropy: digests of two copies are compared, and each side sends what the other lacks.
+//!
+//! A digest holds the versions of all documents, and a hash over the versions of all workers in each of [`BUCKETS`] buckets. A
+//! process whose digest differs answers with a difference: the documents that are newer here and all workers of the differing
+//! buckets. The other merges that and returns what was missing in it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,50 +11,63 @@
 use rand::Rng;
 use xxhash_rust::xxh3::Xxh3;
 
-use super::entry::{Entry, bucket, hash, mark};
+use super::entry::{Entry, EntryVersion, bucket, hash};
+use super::merge::Merge;
 use super::pending::Subject;
-use super::{Gossip, Outgoing, send};
-use crate::wire::{Ack, BUCKETS, Difference, Digest, Document, DocumentVersion, Message, phase};
+use super::{Gossip, Outgoing, Subjects, send};
+use crate::wire::{
+    Ack, BUCKETS, Difference, Digest, Document, DocumentVersion, Message, WorkerEntry, decode_phase,
+};
 
-/// News found by a digest is passed on where it is no more than this, this many times.
-const FOUND: usize = 32;
-const FOUND_HOPS: u8 = 2;
+/// Updates that a difference brought are forwarded if there are no more than this, this many times.
+const MAX_FORWARDED: usize = 32;
+const FORWARD_HOPS: u8 = 2;
 
 impl Gossip {
-    pub(super) fn plan_digest(&mut self, now: Time) {
-        self.next_digest = now + self.slow * self.rng.random_range(800..=1_200) / 1_000;
+    /// Draws when the next digest is sent.
+    pub(super) fn schedule_digest(&mut self, now: Time) {
+        self.next_digest = now + self.digest_interval * self.rng.random_range(800..=1_200) / 1_000;
     }
 
     pub(super) fn send_digest(&self, now: Time, to: &[SocketAddr], out: &mut dyn Outgoing) {
         if !to.is_empty() {
-            let digest = Digest { ask: 0, texts: self.text_versions(), buckets: self.buckets(now) };
+            let digest = Digest {
+                wants_ack: 0,
+                documents: self.document_versions(),
+                buckets: self.bucket_hashes(now),
+            };
             send(to, &Message::Digest(digest), out);
         }
     }
 
-    pub(super) fn whole_text(&self, kind: u8) -> Option<Document> {
-        let (version, text) = self.texts.get(&kind)?;
-        Some(Document { kind, version: *version, text: text.clone() })
+    pub(super) fn document_to_wire(&self, kind: u8) -> Option<Document> {
+        let (version, content) = self.documents.get(&kind)?;
+        Some(Document { kind, version: *version, content: content.clone() })
     }
 
-    pub(super) fn text_versions(&self) -> Vec<DocumentVersion> {
-        self.texts
-            .iter()
-            .map(|(kind, (version, _))| DocumentVersion { kind: *kind, version: *version })
-            .collect()
+    pub(super) fn document_versions(&self) -> Vec<DocumentVersion> {
+        let versions = self.documents.iter();
+        versions.map(|(kind, (version, _))| DocumentVersion { kind: *kind, version: *version }).collect()
     }
 
-    /// The texts that are newer here than those versions.
-    fn newer_texts(&self, theirs: &[DocumentVersion]) -> Vec<Document> {
-        let newer =
-            |kind: &u8, version: u64| theirs.iter().filter(|t| t.kind == *kind).all(|t| t.version < version);
-        let kinds = self.texts.iter().filter(|(kind, (version, _))| newer(kind, *version));
-        kinds.filter_map(|(kind, _)| self.whole_text(*kind)).collect()
+    /// The documents that are newer here than the other side's versions.
+    fn documents_newer_than(&self, theirs: &[DocumentVersion]) -> Vec<Document> {
+        let is_newer =
+            |kind: u8, version: u64| theirs.iter().filter(|t| t.kind == kind).all(|t| t.version < version);
+        let newer = self.documents.iter().filter(|(kind, (version, _))| is_newer(**kind, *version));
+        newer.filter_map(|(kind, _)| self.document_to_wire(*kind)).collect()
     }
 
-    fn buckets(&self, now: Time) -> [u64; BUCKETS] {
+    /// Whether the other side has a document that is missing or older here.
+    fn lacks_any(&self, theirs: &[DocumentVersion]) -> bool {
+        theirs.iter().any(|theirs| {
+            self.documents.get(&theirs.kind).is_none_or(|(version, _)| *version < theirs.version)
+        })
+    }
+
+    fn bucket_hashes(&self, now: Time) -> [u64; BUCKETS] {
         let mut hashers: [Xxh3; BUCKETS] = std::array::from_fn(|_| Xxh3::new());
-        for (id, entry) in self.workers.iter().filter(|(_, entry)| entry.shown(now)) {
+        for (id, entry) in self.workers.iter().filter(|(_, entry)| entry.is_shared(now)) {
             if let Some(hasher) = hashers.get_mut(bucket(hash(id))) {
                 hasher.update(id.as_bytes());
                 hasher.update(&[0xff, entry.worker.phase as u8]);
@@ -60,98 +77,122 @@
         hashers.map(|hasher| hasher.digest())
     }
 
-    pub(super) fn heard_digest(
+    /// The buckets, as bits, in which the workers here differ from the digest's.
+    fn differing_buckets(&self, now: Time, digest: &Digest) -> u16 {
+        let mut differing = 0;
+        for (n, (mine, theirs)) in self.bucket_hashes(now).iter().zip(&digest.buckets).enumerate() {
+            differing |= u16::from(mine != theirs) << n;
+        }
+        differing
+    }
+
+    pub(super) fn receive_digest(
         &mut self,
         now: Time,
         from: SocketAddr,
         digest: &Digest,
         out: &mut dyn Outgoing,
     ) {
-        for text in &digest.texts {
-            self.note_text(from, *text);
+        for document in &digest.documents {
+            self.note_document_version(from, *document);
         }
-        let mut differ = 0_u16;
+        let mut differing = 0;
         if digest.buckets != [0; BUCKETS] {
-            let mine = self.buckets(now);
-            for (n, (mine, theirs)) in mine.iter().zip(&digest.buckets).enumerate() {
-                differ |= u16::from(mine != theirs) << n;
-            }
-            let same = self.pending.iter().filter_map(|(subject, news)| match subject {
-                Subject::Worker(id) if !news.done && differ >> bucket(*id) & 1 == 0 => Some((*id, news.mark)),
-                _ => None,
-            });
-            let same: Vec<_> = same.collect();
-            for (id, mark) in same {
-                self.note_worker(from, id, mark);
-            }
+            differing = self.differing_buckets(now, digest);
+            self.note_equal_buckets(from, differing);
         }
-        let texts = self.newer_texts(&digest.texts);
-        let lack = digest
-            .texts
-            .iter()
-            .any(|theirs| self.texts.get(&theirs.kind).is_none_or(|(version, _)| *version < theirs.version));
-        if differ != 0 || lack || !texts.is_empty() {
-            let workers = self.shown_in(now, differ).map(|entry| entry.told(now)).collect();
-            let versions = self.text_versions();
-            let reply = u8::from(differ != 0 || lack);
-            let difference = Difference { reply, buckets: differ, versions, texts, workers };
+        let documents = self.documents_newer_than(&digest.documents);
+        let wants_reply = differing != 0 || self.lacks_any(&digest.documents);
+        if wants_reply || !documents.is_empty() {
+            let difference = Difference {
+                wants_reply: u8::from(wants_reply),
+                buckets: differing,
+                versions: self.document_versions(),
+                documents,
+                workers: self.shared_in(now, differing).map(|entry| entry.to_wire(now)).collect(),
+            };
             send(&[from], &Message::Difference(difference), out);
-        } else if digest.ask != 0 {
-            let ack = Ack { texts: self.text_versions(), workers: Vec::new() };
+        } else if digest.wants_ack != 0 {
+            let ack = Ack { documents: self.document_versions(), workers: Vec::new() };
             send(&[from], &Message::Ack(ack), out);
         }
     }
 
-    fn shown_in(&self, now: Time, buckets: u16) -> impl Iterator<Item = &Entry> {
-        let within = move |id: &str| buckets >> bucket(hash(id)) & 1 == 1;
-        self.workers.iter().filter(move |(id, entry)| within(id) && entry.shown(now)).map(|(_, entry)| entry)
+    /// A peer has all pending updates of workers in buckets that do not differ.
+    fn note_equal_buckets(&mut self, from: SocketAddr, differing: u16) {
+        let equal = self.pending.iter().filter_map(|(subject, update)| match subject {
+            Subject::Worker(id) if !update.is_complete && differing >> bucket(*id) & 1 == 0 => {
+                Some((*id, update.version))
+            }
+            _ => None,
+        });
+        let equal: Vec<_> = equal.collect();
+        for (id, version) in equal {
+            self.note_worker_version(from, id, version);
+        }
+    }
+
+    /// The entries in some buckets, given as bits, that are sent to peers.
+    fn shared_in(&self, now: Time, buckets: u16) -> impl Iterator<Item = &Entry> {
+        let is_within = move |id: &str| buckets >> bucket(hash(id)) & 1 == 1;
+        let shared = self.workers.iter().filter(move |(id, entry)| is_within(id) && entry.is_shared(now));
+        shared.map(|(_, entry)| entry)
     }
 
-    pub(super) fn heard_difference(
+    pub(super) fn receive_difference(
         &mut self,
         now: Time,
         from: SocketAddr,
         difference: Difference,
         out: &mut dyn Outgoing,
     ) {
-        let Difference { reply, buckets, versions, texts, workers } = difference;
-        let (mut kinds, mut ids, mut retold) = (Vec::new(), Vec::new(), Vec::new());
-        for text in texts {
-            if self.take_text(text.kind, text.version, &text.text, out) {
-                kinds.push(text.kind);
+        let Difference { wants_reply, buckets, versions, documents, workers } = difference;
+        let (mut adopted, mut combined) = (Subjects::default(), Vec::new());
+        for document in documents {
+            let (kind, version) = (document.kind, document.version);
+            if self.adopt_document(kind, version, &document.content, out) {
+                adopted.documents.push(kind);
             }
-            self.note_text(from, DocumentVersion { kind: text.kind, version: text.version });
+            self.note_document_version(from, DocumentVersion { kind, version });
         }
         for version in &versions {
-            self.note_text(from, *version);
+            self.note_document_version(from, *version);
         }
-        let listed: BTreeMap<_, _> = workers
-            .iter()
-            .filter_map(|told| Some((told.id.clone(), mark(told.published_seq, phase(told.phase)?))))
-            .collect();
+        let theirs = versions_by_id(&workers);
         for (id, merged) in self.merge_all(now, from, workers, out) {
-            if merged.retold {
-                retold.push(id);
-            } else if merged.news {
-                ids.push(id);
+            match merged {
+                Merge::Combined => combined.push(id),
+                Merge::Adopted => adopted.workers.push(id),
+                Merge::NewerHere | Merge::Unchanged => {}
             }
         }
-        if reply != 0 {
-            let lacking = |entry: &&Entry| listed.get(&entry.worker.id).is_none_or(|m| *m < entry.mark());
-            let workers: Vec<_> =
-                self.shown_in(now, buckets).filter(lacking).map(|entry| entry.told(now)).collect();
-            let texts = self.newer_texts(&versions);
-            if !(workers.is_empty() && texts.is_empty()) {
-                let versions = self.text_versions();
-                let difference = Difference { reply: 0, buckets: 0, versions, texts, workers };
-                send(&[from], &Message::Difference(difference), out);
+        if wants_reply != 0 {
+            let is_lacking = |entry: &&Entry| {
+                theirs.get(&entry.worker.id).is_none_or(|version| *version < entry.published_version())
+            };
+            let lacking = self.shared_in(now, buckets).filter(is_lacking);
+            let workers: Vec<_> = lacking.map(|entry| entry.to_wire(now)).collect();
+            let documents = self.documents_newer_than(&versions);
+            if !(workers.is_empty() && documents.is_empty()) {
+                let versions = self.document_versions();
+                let reply = Difference { wants_reply: 0, buckets: 0, versions, documents, workers };
+                send(&[from], &Message::Difference(reply), out);
             }
         }
-        if kinds.len() + ids.len() <= FOUND {
-            self.pass_on(now, from, None, FOUND_HOPS, &kinds, &ids, out);
+        if adopted.documents.len() + adopted.workers.len() <= MAX_FORWARDED {
+            self.forward(now, from, None, FORWARD_HOPS, &adopted, out);
         }
-        if !retold.is_empty() {
-            self.tell(now, &[], &retold, out);
+        if !combined.is_empty() {
+            self.publish(now, Subjects::workers(combined), out);
         }
     }
 }
+
+/// The versions of received entries, without those that cannot be decoded.
+fn versions_by_id(workers: &[WorkerEntry]) -> BTreeMap<String, EntryVersion> {
+    let versions = workers.iter().filter_map(|entry| {
+        let phase = decode_phase(entry.phase)?;
+        Some((entry.id.clone(), EntryVersion::new(entry.published_seq, phase)))
+    });
+    versions.collect()
+}
