--- a/crates/coordinator/examples/hollow/mod.rs
+++ b/crates/coordinator/examples/hollow/mod.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
 use rainlug_batch::RunEnd;
-use rainlug_coordinator::{Answer, Call, Coordinator, Effect, NodeInfo, Now, founding_id};
+use rainlug_coordinator::{Answer, Call, Coordinator, Effect, NodeInfo, Now, ProcessRole, founding_id};
 use rainlug_registry::{Phase, Worker};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -190,21 +190,21 @@
         let gateway = role != Role::Store;
         let id = if seeds.contains(&at) { founding_id(at) } else { self.rng.random::<u64>().max(1) };
         let info = NodeInfo {
-            node: format!("{}-{place}", if gateway { "edge" } else { "storage" }),
+            node_name: format!("{}-{place}", if gateway { "edge" } else { "storage" }),
             zone: format!("zone-{}", place % 11),
-            at,
-            control: gateway.then(|| SocketAddr::new(at.ip(), 8000)),
-            gateway,
+            peer_address: at,
+            control_address: gateway.then(|| SocketAddr::new(at.ip(), 8000)),
+            role: if gateway { ProcessRole::Gateway } else { ProcessRole::Store },
             disk: (role != Role::Gateway).then_some(id),
             first_boot: true,
             seeds,
-            tolerate: 1,
-            heartbeat: BEAT,
+            tolerated_failures: 1,
+            heartbeat_interval: BEAT,
             disk_bytes: DISK,
             memory_bytes: MEMORY,
             link_bytes_per_second: (LINK * 1e6) as u64,
             sync_time: 5 * SECOND,
-            relays: true,
+            relays_enabled: true,
             job_retention: 140 * SECOND,
             seed: self.rng.random(),
         };
--- a/crates/coordinator/src/admission.rs
+++ b/crates/coordinator/src/admission.rs
@@ -4,7 +4,7 @@
 use rainlug::{SECOND, Time};
 use rainlug_batch::Command;
 
-use crate::capacity::{self, Bounds, Refusal, Refusals, ShardUsage, Usage};
+use crate::capacity::{self, CapacityLimits, CapacityUsage, RejectionCounts, RejectionReason, ShardUsage};
 use crate::quota::Submitting;
 use crate::shard::Shard;
 use crate::{Answer, BATCH_SHARDS, CONTROL, Coordinator, Effect, Origin};
@@ -25,7 +25,7 @@
 /// What became of batch jobs that had no room.
 #[derive(Default)]
 pub(crate) struct Admission {
-    refusals: Refusals,
+    refusals: RejectionCounts,
     /// When old batch jobs were last forgotten to make room.
     forgot_at: Option<Time>,
 }
@@ -36,39 +36,44 @@
 
 impl Coordinator {
     /// The bounds of this process, and what it has in use of them.
-    fn room(&self) -> (Bounds, Usage) {
-        (Bounds::of(&self.info), self.usage())
+    fn limits_and_usage(&self) -> (CapacityLimits, CapacityUsage) {
+        (CapacityLimits::of(&self.info), self.usage())
     }
 
     /// What this process has in use.
-    fn usage(&self) -> Usage {
+    fn usage(&self) -> CapacityUsage {
         let submitting = self.shards.values().flat_map(|shard| shard.submitting.values());
         let kept = self.shards.values().filter(|shard| !shard.replica.is_vacant());
-        Usage {
+        CapacityUsage {
             shards: kept.map(shard_usage).collect(),
             proposed: submitting.map(|submitting| submitting.bytes).sum(),
-            shards_to_absorb: self.shards_to_absorb(),
+            max_shards_after_losses: self.max_shards_after_losses(),
         }
     }
 
     /// Parts that this store may come to have if as many others are lost as may be.
-    fn shards_to_absorb(&self) -> u64 {
+    fn max_shards_after_losses(&self) -> u64 {
         let stores = self.topology.stores.iter().filter(|store| !store.is_retiring()).count() as u64;
         let members = self.info.target_members() as u64;
-        capacity::shards_to_absorb(u64::from(BATCH_SHARDS), members, stores, self.info.tolerate as u64)
+        capacity::max_shards_after_losses(
+            u64::from(BATCH_SHARDS),
+            members,
+            stores,
+            self.info.tolerated_failures as u64,
+        )
     }
 
     /// Whether another batch job of so many bytes can be kept in a part that is led here, and written now.
-    pub(crate) fn has_room(&self, number: u16, bytes: u64) -> Result<(), Refusal> {
+    pub(crate) fn check_capacity(&self, number: u16, bytes: u64) -> Result<(), RejectionReason> {
         let Some(shard) = self.shards.get(&number) else { return Ok(()) };
         if shard.disk.is_stalled(self.now.steady) {
-            return Err(Refusal::Stall);
+            return Err(RejectionReason::Stall);
         }
         if shard.replica.uncommitted() > MOST_UNCOMMITTED || self.uncommitted_bytes() > MOST_UNCOMMITTED_BYTES
         {
-            return Err(Refusal::Links);
+            return Err(RejectionReason::Links);
         }
-        let (bounds, usage) = self.room();
+        let (bounds, usage) = self.limits_and_usage();
         bounds.admit(&usage, bytes)
     }
 
@@ -83,13 +88,13 @@
     }
 
     /// Whether outputs of a part led here wait too long or are too many already for more items to be run.
-    pub(crate) fn holds_items_back(&self, number: u16) -> bool {
+    pub(crate) fn is_item_start_paused(&self, number: u16) -> bool {
         let is_stalled = |shard: &Shard| shard.disk.is_stalled(self.now.steady);
         self.shards.get(&number).is_some_and(is_stalled) || self.uncommitted_bytes() > MOST_UNCOMMITTED_BYTES
     }
 
     /// Answers a batch job that is not taken, and makes room if a rewrite does.
-    pub(crate) fn refuse(&mut self, origin: Origin, refusal: Refusal) {
+    pub(crate) fn reject_job(&mut self, origin: Origin, refusal: RejectionReason) {
         self.admission.refusals.count(refusal);
         self.effects.push(Effect::Log("job refused", refusal.name().to_owned()));
         if !refusal.is_temporary() {
@@ -100,8 +105,8 @@
     }
 
     /// When there may be room again: after a stall or a rewrite, or else once batch jobs are forgotten.
-    fn retry_after(&self, refusal: Refusal, is_rewriting: bool) -> Time {
-        if refusal.is_temporary() || is_rewriting && refusal != Refusal::Refill {
+    fn retry_after(&self, refusal: RejectionReason, is_rewriting: bool) -> Time {
+        if refusal.is_temporary() || is_rewriting && refusal != RejectionReason::Refill {
             return SHORT_RETRY;
         }
         FORGET_WHEN_FULL
@@ -124,7 +129,7 @@
 
     /// Asks for the rewrites of logs that make room; whether one was asked for.
     pub(crate) fn rewrite_where_due(&mut self) -> bool {
-        let ((bounds, usage), now) = (self.room(), self.now.steady);
+        let ((bounds, usage), now) = (self.limits_and_usage(), self.now.steady);
         let numbers: Vec<u16> = self.shards.keys().copied().filter(|number| *number != CONTROL).collect();
         let mut is_asked = false;
         for number in numbers {
@@ -139,25 +144,25 @@
     }
 
     /// Bytes of memory that the state takes, or the files at a restart, and how much they may take at the very most.
-    pub(crate) fn kept_memory(&self) -> (u64, u64) {
-        let (bounds, usage) = self.room();
-        (usage.state_bytes().max(usage.file_bytes()), bounds.most_memory())
+    pub(crate) fn state_memory(&self) -> (u64, u64) {
+        let (bounds, usage) = self.limits_and_usage();
+        (usage.state_bytes().max(usage.file_bytes()), bounds.max_memory())
     }
 
     /// What is in use of the bounds, and the batch jobs that were not taken.
-    pub(crate) fn room_figures(&self) -> Vec<(String, f64)> {
-        let (bounds, usage) = self.room();
+    pub(crate) fn capacity_metrics(&self) -> Vec<(String, f64)> {
+        let (bounds, usage) = self.limits_and_usage();
         let seconds = |time: Time| time as f64 / SECOND as f64;
         let of = |name: &str, value: f64| (format!("room_{name}"), value);
         let mut metrics = vec![
             of("memory_bytes", usage.memory_bytes() as f64),
             of("memory_limit_bytes", bounds.memory_limit(usage.shards.len()) as f64),
-            of("disk_bytes", usage.file_bytes().saturating_add(usage.to_come()) as f64),
+            of("disk_bytes", usage.file_bytes().saturating_add(usage.future_output_bytes()) as f64),
             of("disk_limit_bytes", bounds.disk_limit() as f64),
-            of("refill_seconds", seconds(bounds.refill_time(&usage))),
+            of("refill_seconds", seconds(bounds.recovery_time(&usage))),
             of("refill_limit_seconds", seconds(bounds.sync_time)),
         ];
-        let refused = |(refusal, count): (Refusal, u64)| {
+        let refused = |(refusal, count): (RejectionReason, u64)| {
             (format!("batch_jobs_refused_{}", refusal.name()), count as f64)
         };
         metrics.extend(self.admission.refusals.counts().map(refused));
--- a/crates/coordinator/src/batch_shard.rs
+++ b/crates/coordinator/src/batch_shard.rs
@@ -54,9 +54,9 @@
             }
         };
         let tokens = items.iter().fold(0, |sum: u64, item| sum.saturating_add(item.token_count));
-        let bytes = capacity::job_bytes(body.len(), &items, shard.log_use().mean_output());
-        if let Err(refusal) = self.has_room(number, bytes) {
-            return self.refuse(origin, refusal);
+        let bytes = capacity::job_bytes(body.len(), &items, shard.log_use().mean_output_bytes());
+        if let Err(refusal) = self.check_capacity(number, bytes) {
+            return self.reject_job(origin, refusal);
         }
         let command = Command::Submit {
             job: job.clone(),
@@ -182,7 +182,7 @@
         }
         shard.pause = 0;
         // What is held back goes on with the next word of a disk or a member.
-        if self.holds_items_back(number) {
+        if self.is_item_start_paused(number) {
             return;
         }
         let Some(shard) = self.shards.get_mut(&number) else { return };
--- a/crates/coordinator/src/calls.rs
+++ b/crates/coordinator/src/calls.rs
@@ -167,7 +167,7 @@
                 self.call_batch_shard(ticket, &job, &request, 0);
             }
         }
-        self.settle();
+        self.run_deferred_work();
     }
 
     pub(crate) fn answer(&mut self, ticket: u64, answer: Answer) {
@@ -238,9 +238,9 @@
     /// Where a part's members hear their peers, as far as this process knows.
     fn seats(&self, number: u16) -> Vec<SocketAddr> {
         let known: Vec<SocketAddr> = if number == CONTROL {
-            self.topology.core.iter().map(|s| s.at.into()).collect()
+            self.topology.configuration_members.iter().map(|s| s.at.into()).collect()
         } else {
-            let group = self.topology.groups.iter().find(|g| g.shard == number);
+            let group = self.topology.replica_sets.iter().find(|g| g.shard == number);
             group.map(|g| g.members.iter().map(|s| s.at.into()).collect()).unwrap_or_default()
         };
         if known.is_empty() && number == CONTROL { self.info.seeds.clone() } else { known }
@@ -248,10 +248,11 @@
 
     /// A process that another one's calls may go by: it takes requests, and is none of the core, which may be cut off together.
     fn relay_for(&mut self, shard: u16) -> Option<SocketAddr> {
-        let core: Vec<SocketAddr> = self.topology.core.iter().map(|seat| seat.at.into()).collect();
-        let living = self.living.iter().filter(|(at, (is_gateway, _))| *is_gateway && !core.contains(at));
+        let core: Vec<SocketAddr> =
+            self.topology.configuration_members.iter().map(|seat| seat.at.into()).collect();
+        let living = self.live_peers.iter().filter(|(at, peer)| peer.is_gateway && !core.contains(at));
         let gateways: Vec<SocketAddr> = living.map(|(at, _)| *at).collect();
-        gateways.choose(&mut self.rng).copied().filter(|_| shard != CONTROL && self.info.relays)
+        gateways.choose(&mut self.rng).copied().filter(|_| shard != CONTROL && self.info.relays_enabled)
     }
 
     /// Sends a call that nobody answered by way of another process, where there is one.
@@ -289,11 +290,13 @@
             return;
         }
         let Some(number) = self.asks.get(&nonce).map(|a| a.shard) else { return };
-        let led = self.shards.get(&number).filter(|p| p.replica.leads()).map(|_| self.info.at);
+        let led = self.shards.get(&number).filter(|p| p.replica.leads()).map(|_| self.info.peer_address);
         let silent = self.asks.get(&nonce).and_then(|a| a.silent);
         // Who is known to be gone, or has just not answered, is asked only where nobody else is left.
         let (mut seats, all) = (self.seats(number), self.seats(number));
-        seats.retain(|at| *at == self.info.at || self.living.contains_key(at) && Some(*at) != silent);
+        seats.retain(|at| {
+            *at == self.info.peer_address || self.live_peers.contains_key(at) && Some(*at) != silent
+        });
         let seats = if seats.is_empty() { all } else { seats };
         let hint = self.hints.get(&number).copied().filter(|hint| Some(*hint) != silent);
         let Some(ask) = self.asks.get_mut(&nonce) else { return };
@@ -314,7 +317,7 @@
             true => (join(&Request::Locate, &[]), Bytes::new()),
             false => (ask.request.clone(), ask.tail.clone()),
         };
-        if to == self.info.at {
+        if to == self.info.peer_address {
             if let Ok((request, _)) = split(&request) {
                 self.serve(Origin::Own(nonce), number, request, tail);
             }
@@ -453,7 +456,7 @@
         let replica = self.shards.get(&number).map(|shard| &shard.replica);
         let leader = replica.filter(|r| r.leads() || !r.is_elected()).and_then(|r| r.leader()).map(|m| m.at);
         match origin {
-            Origin::Own(nonce) => self.elsewhere(nonce, self.info.at, leader),
+            Origin::Own(nonce) => self.elsewhere(nonce, self.info.peer_address, leader),
             Origin::Remote { to, nonce } => {
                 let leader = leader.map_or(PeerAddress { ip: [0; 4], port: 0 }, PeerAddress::from);
                 let head = Head::Elsewhere { nonce, proposed: u8::from(proposed), leader };
--- a/crates/coordinator/src/capacity.rs
+++ b/crates/coordinator/src/capacity.rs
@@ -15,7 +15,7 @@
 use crate::{LOGS_OF_A_DISK, NodeInfo};
 
 /// A disk that takes longer than this to write something is stalled.
-pub const DISK_PATIENCE: Time = SECOND;
+pub const DISK_STALL_TIMEOUT: Time = SECOND;
 /// Bytes of a record beside its content: headers of file and entry, ids and counts of a command.
 const RECORD: u64 = 160;
 /// Bytes of an output as long as none was seen.
@@ -90,7 +90,7 @@
 
     /// Whether something has waited for the disk too long.
     pub fn is_stalled(&self, now: Time) -> bool {
-        self.unsaved.front().is_some_and(|(_, since)| now - since > DISK_PATIENCE)
+        self.unsaved.front().is_some_and(|(_, since)| now - since > DISK_STALL_TIMEOUT)
     }
 
     /// Whether a rewrite may be asked for to make room: not soon after another one, and not while the disk is
@@ -107,7 +107,7 @@
 
 /// What a part's log holds, and what the accepted items will add to it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LogUse {
+pub struct LogUsage {
     /// Bytes of the file.
     pub length: u64,
     /// Bytes that the state takes in memory, about; it takes no more on a disk after a rewrite, nor on the
@@ -116,9 +116,9 @@
     pub totals: Totals,
 }
 
-impl LogUse {
+impl LogUsage {
     /// Bytes that an item's output takes in the log, in the mean of those that came.
-    pub fn mean_output(&self) -> u64 {
+    pub fn mean_output_bytes(&self) -> u64 {
         let Totals { listed, output_bytes, .. } = self.totals;
         let text = if listed < OUTPUTS_NEEDED { OUTPUT_GUESS } else { output_bytes / listed };
         text + RECORD
@@ -126,7 +126,7 @@
 
     /// Bytes that outputs of accepted items will add.
     fn outputs_to_come(&self) -> u64 {
-        self.totals.open.saturating_mul(self.mean_output())
+        self.totals.open.saturating_mul(self.mean_output_bytes())
     }
 
     /// Whether a rewrite would be made.
@@ -143,17 +143,17 @@
 
 /// Bytes that a batch job will take at most, in the log as well as in memory: its request, and an output for
 /// each item.
-pub fn job_bytes(request: usize, items: &[Item], mean_output: u64) -> u64 {
+pub fn job_bytes(request: usize, items: &[Item], mean_output_bytes: u64) -> u64 {
     let headers: u64 = items.iter().map(|item| item.headers.len() as u64 * HEADER_MEMORY).sum();
     // An item's id is kept twice, to find its place by it.
     let ids: u64 = items.iter().map(|item| item.id.len() as u64).sum();
-    let outputs = (items.len() as u64).saturating_mul(mean_output.saturating_add(ITEM_MEMORY));
+    let outputs = (items.len() as u64).saturating_mul(mean_output_bytes.saturating_add(ITEM_MEMORY));
     JOB_MEMORY + request as u64 + headers + ids + outputs
 }
 
 /// Why a new batch job is not taken now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refusal {
+pub enum RejectionReason {
     /// The disk does not write.
     Stall,
     /// Too much waits for the disks of other members: links or disks are too slow for more.
@@ -166,23 +166,28 @@
     Refill,
 }
 
-impl Refusal {
-    pub const ALL: [Refusal; 5] =
-        [Refusal::Stall, Refusal::Links, Refusal::Memory, Refusal::Disk, Refusal::Refill];
+impl RejectionReason {
+    pub const ALL: [RejectionReason; 5] = [
+        RejectionReason::Stall,
+        RejectionReason::Links,
+        RejectionReason::Memory,
+        RejectionReason::Disk,
+        RejectionReason::Refill,
+    ];
 
     /// Whether it ends without anything being forgotten or rewritten.
     pub fn is_temporary(self) -> bool {
-        matches!(self, Refusal::Stall | Refusal::Links)
+        matches!(self, RejectionReason::Stall | RejectionReason::Links)
     }
 
     /// Its name in figures.
     pub fn name(self) -> &'static str {
         match self {
-            Refusal::Stall => "stall",
-            Refusal::Links => "links",
-            Refusal::Memory => "memory",
-            Refusal::Disk => "disk",
-            Refusal::Refill => "refill",
+            RejectionReason::Stall => "stall",
+            RejectionReason::Links => "links",
+            RejectionReason::Memory => "memory",
+            RejectionReason::Disk => "disk",
+            RejectionReason::Refill => "refill",
         }
     }
 }
@@ -190,23 +195,23 @@
 /// What one part on this process has in use.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShardUsage {
-    pub log: LogUse,
+    pub log: LogUsage,
     /// It is led here: members with an empty disk are filled from here.
     pub is_led: bool,
 }
 
 /// What is in use of a process's bounds.
 #[derive(Clone, Debug, Default)]
-pub struct Usage {
+pub struct CapacityUsage {
     pub shards: Vec<ShardUsage>,
     /// Bytes of batch jobs that are proposed, with their outputs to come.
     pub proposed: u64,
     /// Parts that this process may come to have once stores are lost and their seats move; no fewer than it has.
-    pub shards_to_absorb: u64,
+    pub max_shards_after_losses: u64,
 }
 
-impl Usage {
-    fn sum(&self, bytes: impl Fn(&LogUse) -> u64) -> u64 {
+impl CapacityUsage {
+    fn sum(&self, bytes: impl Fn(&LogUsage) -> u64) -> u64 {
         self.shards.iter().fold(0, |sum, shard| sum.saturating_add(bytes(&shard.log)))
     }
 
@@ -222,9 +227,10 @@
 
     /// So many bytes of the parts that are here, if this process had all that it may come to have, each as large as these in the
     /// mean.
-    fn borne(&self, bytes: u64) -> u64 {
+    fn after_losses(&self, bytes: u64) -> u64 {
         let here = (self.shards.len() as u64).max(1);
-        let scaled = u128::from(bytes) * u128::from(self.shards_to_absorb.max(here)) / u128::from(here);
+        let scaled =
+            u128::from(bytes) * u128::from(self.max_shards_after_losses.max(here)) / u128::from(here);
         u64::try_from(scaled).unwrap_or(u64::MAX)
     }
 
@@ -234,14 +240,14 @@
     }
 
     /// Bytes that will come for what is accepted or proposed.
-    pub fn to_come(&self) -> u64 {
-        self.sum(LogUse::outputs_to_come).saturating_add(self.proposed)
+    pub fn future_output_bytes(&self) -> u64 {
+        self.sum(LogUsage::outputs_to_come).saturating_add(self.proposed)
     }
 
     /// Bytes of memory that are taken once all accepted is listed: by the state as it is kept, or by the
     /// files that a restart reads, whichever is more.
     pub fn memory_bytes(&self) -> u64 {
-        self.state_bytes().max(self.file_bytes()).saturating_add(self.to_come())
+        self.state_bytes().max(self.file_bytes()).saturating_add(self.future_output_bytes())
     }
 
     /// Bytes of the state of parts led here, once all accepted is listed. Proposals are made by leaders only.
@@ -254,7 +260,7 @@
 
 /// What a process has to keep batch jobs with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct CapacityLimits {
     /// Bytes of memory of the whole process.
     pub memory_bytes: u64,
     /// Bytes of the disk.
@@ -266,14 +272,14 @@
     pub copies: u64,
 }
 
-impl Bounds {
+impl CapacityLimits {
     pub fn of(info: &NodeInfo) -> Self {
-        Bounds {
+        CapacityLimits {
             memory_bytes: info.memory_bytes as u64,
             disk_bytes: info.disk_bytes as u64,
             link_bytes_per_second: info.link_bytes_per_second,
             sync_time: info.sync_time,
-            copies: info.tolerate.max(1) as u64,
+            copies: info.tolerated_failures.max(1) as u64,
         }
     }
 
@@ -285,7 +291,7 @@
     }
 
     /// Bytes of memory that the state may take at the very most: what is left beside a process that keeps nothing.
-    pub fn most_memory(&self) -> u64 {
+    pub fn max_memory(&self) -> u64 {
         self.memory_bytes.saturating_sub(BASE_MEMORY).max(self.memory_bytes / LEAST_MEMORY_SHARE)
     }
 
@@ -295,35 +301,35 @@
     }
 
     /// Bytes a second that copies of the state have of the link.
-    fn refill_rate(&self) -> u64 {
+    fn recovery_bytes_per_second(&self) -> u64 {
         self.link_bytes_per_second / REFILL_SHARE.1 * REFILL_SHARE.0
     }
 
     /// The time before the first bytes of a refill.
-    fn refill_start(&self) -> Time {
+    fn recovery_start(&self) -> Time {
         REFILL_START.min(self.sync_time - self.sync_time / LEAST_COPY_SHARE)
     }
 
     /// Bytes that can be copied over a link in time.
-    pub fn refill_limit(&self) -> u64 {
-        let time = u128::try_from(self.sync_time - self.refill_start()).unwrap_or(0);
-        let bytes = u128::from(self.refill_rate()) * time / SECOND as u128;
+    pub fn recovery_limit(&self) -> u64 {
+        let time = u128::try_from(self.sync_time - self.recovery_start()).unwrap_or(0);
+        let bytes = u128::from(self.recovery_bytes_per_second()) * time / SECOND as u128;
         u64::try_from(bytes).unwrap_or(u64::MAX)
     }
 
     /// Bytes that a refill brings over the busiest link: to the empty disk all its parts, about those that
     /// are here; from a leader its parts, as often as disks may be empty at once.
-    fn refill_bytes(&self, usage: &Usage, job: u64) -> u64 {
-        let taken = usage.state_bytes().saturating_add(usage.to_come()).saturating_add(job);
+    fn recovery_bytes(&self, usage: &CapacityUsage, job: u64) -> u64 {
+        let taken = usage.state_bytes().saturating_add(usage.future_output_bytes()).saturating_add(job);
         let sent = usage.led_bytes().saturating_add(job).saturating_mul(self.copies);
         taken.max(sent)
     }
 
     /// How long a refill would take, once all accepted is listed.
-    pub fn refill_time(&self, usage: &Usage) -> Time {
-        let micros = u128::from(self.refill_bytes(usage, 0)) * SECOND as u128;
-        let time = micros / u128::from(self.refill_rate().max(1));
-        Time::try_from(time).unwrap_or(Time::MAX).saturating_add(self.refill_start())
+    pub fn recovery_time(&self, usage: &CapacityUsage) -> Time {
+        let micros = u128::from(self.recovery_bytes(usage, 0)) * SECOND as u128;
+        let time = micros / u128::from(self.recovery_bytes_per_second().max(1));
+        Time::try_from(time).unwrap_or(Time::MAX).saturating_add(self.recovery_start())
     }
 
     /// Whether a batch job of so many bytes, for a part that is led here, can be kept beside all that is
@@ -331,52 +337,53 @@
     ///
     /// # Errors
     /// The first bound that it would pass.
-    pub fn admit(&self, usage: &Usage, job: u64) -> Result<(), Refusal> {
-        let on_disk = usage.borne(usage.file_bytes().saturating_add(usage.to_come()).saturating_add(job));
+    pub fn admit(&self, usage: &CapacityUsage, job: u64) -> Result<(), RejectionReason> {
+        let on_disk = usage
+            .after_losses(usage.file_bytes().saturating_add(usage.future_output_bytes()).saturating_add(job));
         // A member that lags takes a leader's snapshot beside its old file, as a rewrite does.
         let on_disk = on_disk.saturating_add(usage.largest_state());
-        let shards = usage.shards.len().max(usage.shards_to_absorb as usize);
-        if usage.borne(usage.memory_bytes().saturating_add(job)) > self.memory_limit(shards) {
-            return Err(Refusal::Memory);
+        let shards = usage.shards.len().max(usage.max_shards_after_losses as usize);
+        if usage.after_losses(usage.memory_bytes().saturating_add(job)) > self.memory_limit(shards) {
+            return Err(RejectionReason::Memory);
         }
         if on_disk > self.disk_limit() {
-            return Err(Refusal::Disk);
+            return Err(RejectionReason::Disk);
         }
-        if self.refill_bytes(usage, job) > self.refill_limit() {
-            return Err(Refusal::Refill);
+        if self.recovery_bytes(usage, job) > self.recovery_limit() {
+            return Err(RejectionReason::Refill);
         }
         Ok(())
     }
 
     /// Whether a rewrite of one of the logs makes room that may be needed: files take a good part of what
     /// they may, the disk would make the rewrite, and its copy fits beside all files.
-    pub fn is_rewrite_due(&self, usage: &Usage, log: &LogUse) -> bool {
+    pub fn is_rewrite_due(&self, usage: &CapacityUsage, log: &LogUsage) -> bool {
         let files = usage.file_bytes();
         let limit = self.disk_limit().min(self.memory_limit(usage.shards.len()));
-        let is_crowded = files.saturating_add(usage.to_come()) > limit / CROWDED_SHARE;
+        let is_crowded = files.saturating_add(usage.future_output_bytes()) > limit / CROWDED_SHARE;
         let fits = files.saturating_add(log.rewritten) <= self.disk_limit();
         is_crowded && fits && log.is_rewrite_made(files > self.disk_bytes / 2)
     }
 }
 
 /// Parts that the fullest of so many stores has once `lost` of them are lost, where seats go to those that have the fewest.
-pub fn shards_to_absorb(shards: u64, members: u64, stores: u64, lost: u64) -> u64 {
+pub fn max_shards_after_losses(shards: u64, members: u64, stores: u64, lost: u64) -> u64 {
     let left = stores.saturating_sub(lost).max(1);
     (shards * members).div_ceil(left).min(shards)
 }
 
 /// How many batch jobs were not taken, by the reason.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Refusals([u64; Refusal::ALL.len()]);
+pub struct RejectionCounts([u64; RejectionReason::ALL.len()]);
 
-impl Refusals {
-    pub fn count(&mut self, refusal: Refusal) {
+impl RejectionCounts {
+    pub fn count(&mut self, refusal: RejectionReason) {
         if let Some(count) = self.0.get_mut(refusal as usize) {
             *count += 1;
         }
     }
 
-    pub fn counts(&self) -> impl Iterator<Item = (Refusal, u64)> + '_ {
-        Refusal::ALL.into_iter().zip(self.0)
+    pub fn counts(&self) -> impl Iterator<Item = (RejectionReason, u64)> + '_ {
+        RejectionReason::ALL.into_iter().zip(self.0)
     }
 }
--- a/crates/coordinator/src/control.rs
+++ b/crates/coordinator/src/control.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::frame::{DecodeError, MemberRecord, Text, join, split};
-use crate::topology::{ShardReplicaSet, StoreRecord, Topology, members, seats};
+use crate::topology::{ShardReplicaSet, StoreRecord, Topology, decode_members, encode_members};
 
 /// So many accepted versions are remembered, to know a configuration that is sent again.
 const REMEMBERED: usize = 4096;
@@ -122,7 +122,7 @@
 impl Change {
     /// A part's first group, to be agreed on.
     pub fn founded(shard: u16, members: &[Member]) -> Self {
-        let seats = seats(members);
+        let seats = encode_members(members);
         Change::Seated { shard, term: 0, index: 0, retirements: 0, count: seats.len() as u16, seats }
     }
 }
@@ -139,7 +139,7 @@
             }
             Change::Retire { store } => self.retire(store.to_str()?),
             Change::Seated { shard, term, index, retirements, seats, .. } => {
-                self.seat(shard, (term, index), retirements, members(&seats)?);
+                self.seat(shard, (term, index), retirements, decode_members(&seats)?);
                 Outcome::Done
             }
             Change::Fence { disk } => {
@@ -242,19 +242,20 @@
 
     /// The roster, with the configuration's own group.
     pub fn topology(&self, core: &[Member]) -> Topology {
-        let seat = |store: &Store| StoreRecord { seat: (&store.member).into(), retirement: store.retirement };
+        let seat =
+            |store: &Store| StoreRecord { member: (&store.member).into(), retirement: store.retirement };
         let stores = self.stores.values().map(seat).collect();
         let listed = |(shard, group): (&u16, &Group)| {
             ShardReplicaSet::new(
                 *shard,
                 (group.term, group.index),
                 group.retirements,
-                seats(&group.founding),
-                seats(&group.members),
+                encode_members(&group.founding),
+                encode_members(&group.members),
             )
         };
         let groups = self.groups.iter().map(listed).collect();
-        Topology::new(seats(core), stores, groups, self.retirements, self.fenced.clone())
+        Topology::new(encode_members(core), stores, groups, self.retirements, self.fenced.clone())
     }
 
     /// Bytes of its snapshot, about.
@@ -277,11 +278,11 @@
         let mut control = Control { version: image.version, text, ..Control::default() };
         control.accepted = image.accepted.iter().map(|p| (p.version, p.hash)).collect();
         for store in &image.topology.stores {
-            let member = store.seat.member()?;
+            let member = store.member.member()?;
             control.stores.insert(member.name.clone(), Store { member, retirement: store.retirement });
         }
-        for group in &image.topology.groups {
-            let (founding, seated) = (members(&group.founding)?, members(&group.members)?);
+        for group in &image.topology.replica_sets {
+            let (founding, seated) = (decode_members(&group.founding)?, decode_members(&group.members)?);
             let (term, index, retirements) = (group.term, group.index, group.retirements);
             let seated = Group { founding, term, index, retirements, members: seated };
             control.groups.insert(group.shard, seated);
--- a/crates/coordinator/src/dissemination.rs
+++ b/crates/coordinator/src/dissemination.rs
@@ -1,4 +1,8 @@
-//! News of the gossip: what takes effect here, what is entered, and answers that wait until their news has spread.
+//! What the gossip brings takes effect here, what this process learns is published through it, and answers wait here until what
+//! they acknowledge has spread.
+//!
+//! A caller that is told "done" may count on every live process knowing it. So the answer to a new configuration, or to a
+//! worker's last call, is held back until all live peers have acknowledged the update, or until a short timeout has passed.
 
 use std::net::SocketAddr;
 
@@ -11,33 +15,63 @@
 use crate::topology::Topology;
 use crate::{Answer, Coordinator, Effect, Origin};
 
-/// An answer that waits until its news has spread.
-pub(crate) struct Held {
+/// When a worker is to repeat a last call that could not be acknowledged, in microseconds.
+pub(crate) const RETRY_LAST_CALL_AFTER: Time = SECOND / 5;
+
+/// An answer that waits until the update it acknowledges has spread.
+pub(crate) struct PendingAcknowledgement {
+    /// Whom the answer goes to.
     pub origin: Origin,
+    /// What is answered once the update has spread.
     pub answer: Answer,
+    /// When it waits no longer, by the steady clock in microseconds.
     pub until: Time,
-    pub news: News,
+    /// What has to spread.
+    pub update: AwaitedUpdate,
 }
 
-pub(crate) enum News {
+/// An update of the gossip that an answer waits for.
+pub(crate) enum AwaitedUpdate {
+    /// The configuration of this version.
     Configuration(u64),
+    /// The last state of the worker with this id.
     Worker(String),
 }
 
-/// Where the effects of view and gossip go.
-pub(crate) struct Sink<'a> {
-    pub effects: &'a mut Vec<Effect>,
-    pub workers: Vec<Worker>,
-    pub texts: Vec<(u8, u64, Bytes)>,
+/// Updates that the gossip found to be newer than what stood here.
+#[derive(Default)]
+pub(crate) struct Updates {
+    workers: Vec<Worker>,
+    texts: Vec<TextUpdate>,
+}
+
+/// A newer version of one of the texts that the gossip carries.
+struct TextUpdate {
+    /// [`gossip::CONFIGURATION`] or [`gossip::GROUPS`].
+    kind: u8,
+    version: u64,
+    text: Bytes,
 }
 
-impl<'a> Sink<'a> {
+/// Takes what the failure detector and the gossip send, and collects the updates that they report.
+pub(crate) struct Outbox<'a> {
+    effects: &'a mut Vec<Effect>,
+    updates: Updates,
+}
+
+impl<'a> Outbox<'a> {
+    /// Sends become effects in this list.
     pub fn new(effects: &'a mut Vec<Effect>) -> Self {
-        Sink { effects, workers: Vec::new(), texts: Vec::new() }
+        Outbox { effects, updates: Updates::default() }
+    }
+
+    /// What was reported, for [`Coordinator::apply_updates`].
+    pub fn into_updates(self) -> Updates {
+        self.updates
     }
 }
 
-impl rainlug_fleet::Outgoing for Sink<'_> {
+impl rainlug_fleet::Outgoing for Outbox<'_> {
     fn send(&mut self, to: SocketAddr, payload: &[u8]) {
         self.effects.push(Effect::Datagram { to, bytes: Bytes::copy_from_slice(payload) });
     }
@@ -48,109 +82,123 @@
     }
 }
 
-impl gossip::Outgoing for Sink<'_> {
+impl gossip::Outgoing for Outbox<'_> {
     fn send(&mut self, to: SocketAddr, bytes: Bytes) {
         self.effects.push(Effect::Frame { to, head: join(&Head::Gossip, &[]), tail: bytes });
     }
 
     fn worker(&mut self, worker: &Worker) {
-        self.workers.push(worker.clone());
+        self.updates.workers.push(worker.clone());
     }
 
     fn text(&mut self, kind: u8, version: u64, text: &Bytes) {
-        self.texts.push((kind, version, text.clone()));
+        self.updates.texts.push(TextUpdate { kind, version, text: text.clone() });
     }
 }
 
 impl Coordinator {
-    /// News of the gossip takes effect here.
-    pub(crate) fn told_news(&mut self, workers: Vec<Worker>, texts: Vec<(u8, u64, Bytes)>) {
-        for worker in workers {
+    /// Updates of the gossip take effect here.
+    pub(crate) fn apply_updates(&mut self, updates: Updates) {
+        for worker in updates.workers {
             if worker.phase >= Phase::Draining {
                 self.heartbeats.remove(&worker.id);
             }
             self.effects.push(Effect::Worker(worker));
         }
-        for (kind, version, text) in texts {
-            match kind {
-                gossip::CONFIGURATION => match Configuration::read(&text) {
-                    Ok(read) => {
-                        self.configuration = Some(read);
-                        self.effects.push(Effect::Configuration { version, text });
-                    }
-                    Err(findings) => {
-                        self.effects
-                            .push(Effect::Log("configuration", format!("version {version}: {findings}")));
-                    }
-                },
-                gossip::GROUPS => {
-                    if let Ok(topology) = Topology::decode(&text) {
-                        (self.topology, self.topology_version) = (topology, version);
-                        self.founded();
-                        self.fence_shards();
-                        self.renew_fenced_disk();
-                    }
-                }
+        for update in updates.texts {
+            match update.kind {
+                gossip::CONFIGURATION => self.apply_configuration(update.version, update.text),
+                gossip::GROUPS => self.apply_topology(update.version, &update.text),
                 _ => {}
             }
         }
     }
 
-    /// Enters a worker's word in the gossip; true where it is news.
-    pub(crate) fn enter(&mut self, worker: Worker) -> bool {
-        let mut sink = Sink::new(&mut self.effects);
-        let news = self.gossip.worker(self.now.steady, worker, &mut sink);
-        let (workers, texts) = (sink.workers, sink.texts);
-        self.told_news(workers, texts);
-        news
+    fn apply_configuration(&mut self, version: u64, text: Bytes) {
+        match Configuration::read(&text) {
+            Ok(configuration) => {
+                self.configuration = Some(configuration);
+                self.effects.push(Effect::Configuration { version, text });
+            }
+            Err(findings) => {
+                let details = format!("version {version}: {findings}");
+                self.effects.push(Effect::Log("configuration", details));
+            }
+        }
+    }
+
+    fn apply_topology(&mut self, version: u64, text: &Bytes) {
+        let Ok(topology) = Topology::decode(text) else { return };
+        (self.topology, self.topology_version) = (topology, version);
+        self.open_founded_shards();
+        self.apply_fences();
+        self.replace_fenced_disk_identity();
+    }
+
+    /// Publishes a worker's state through the gossip; whether it is newer than what stood there.
+    pub(crate) fn publish_worker(&mut self, worker: Worker) -> bool {
+        let mut outbox = Outbox::new(&mut self.effects);
+        let is_newer = self.gossip.worker(self.now.steady, worker, &mut outbox);
+        let updates = outbox.into_updates();
+        self.apply_updates(updates);
+        is_newer
     }
 
-    pub(crate) fn enter_text(&mut self, kind: u8, version: u64, text: Bytes) {
-        let mut sink = Sink::new(&mut self.effects);
-        self.gossip.text(self.now.steady, kind, version, text, &mut sink);
-        let (workers, texts) = (sink.workers, sink.texts);
-        self.told_news(workers, texts);
+    /// Publishes a version of one of the gossip's texts.
+    pub(crate) fn publish_text(&mut self, kind: u8, version: u64, text: Bytes) {
+        let mut outbox = Outbox::new(&mut self.effects);
+        self.gossip.text(self.now.steady, kind, version, text, &mut outbox);
+        let updates = outbox.into_updates();
+        self.apply_updates(updates);
     }
 
-    /// Whether a majority of the core has a worker's last news. Each process in contact with the core hears of it then; without this a
-    /// side that is cut off could acknowledge a worker's end that the other side does not know.
+    /// Whether a majority of the configuration's members has a worker's latest state. Each process in contact with that majority
+    /// learns of it then; without this, an isolated side could acknowledge a worker's end that the other side does not know.
     pub(crate) fn is_known_to_core(&self, worker: &str) -> bool {
-        let core = &self.topology.core;
-        let known = core.iter().filter(|seat| {
-            let at: SocketAddr = seat.at.into();
-            at == self.info.at || self.gossip.is_worker_known_to(worker, at)
+        let members = &self.topology.configuration_members;
+        let acknowledged = members.iter().filter(|member| {
+            let address: SocketAddr = member.at.into();
+            address == self.info.peer_address || self.gossip.is_worker_known_to(worker, address)
         });
-        core.is_empty() || 2 * known.count() > core.len()
+        members.is_empty() || 2 * acknowledged.count() > members.len()
     }
 
-    /// After each event: what members there are, answers whose news has spread, items to run, tokens to report.
-    pub(crate) fn settle(&mut self) {
+    /// What may have become possible with any event: a changed membership, answers whose update has spread, items to run, tokens
+    /// to report.
+    pub(crate) fn run_deferred_work(&mut self) {
         if self.view.version() != self.seen {
             self.seen = self.view.version();
-            self.members();
+            self.update_membership();
         }
+        self.send_acknowledgements();
+        self.run_items();
+        self.report_tokens();
+        self.finish_reservations();
+    }
+
+    /// Sends the answers whose update has spread or whose time is over.
+    fn send_acknowledgements(&mut self) {
         let now = self.now.steady;
-        let held = std::mem::take(&mut self.held);
-        for waits in held {
-            let ((has, all), is_in_core) = match &waits.news {
-                News::Configuration(version) => (self.gossip.spread(gossip::CONFIGURATION, *version), true),
-                News::Worker(id) => (self.gossip.worker_spread(id), self.is_known_to_core(id)),
+        for pending in std::mem::take(&mut self.pending_acknowledgements) {
+            let ((acknowledged, peers), is_in_core) = match &pending.update {
+                AwaitedUpdate::Configuration(version) => {
+                    (self.gossip.spread(gossip::CONFIGURATION, *version), true)
+                }
+                AwaitedUpdate::Worker(id) => (self.gossip.worker_spread(id), self.is_known_to_core(id)),
             };
-            if has >= all && is_in_core {
-                self.reply(waits.origin, waits.answer);
-            } else if now >= waits.until {
-                // Of a worker's end nobody else has said to know: it is to be told elsewhere too.
-                let alone = has == 0 && all > 0 && matches!(waits.news, News::Worker(_));
-                self.reply(
-                    waits.origin,
-                    if alone || !is_in_core { Answer::later(503, SECOND / 5) } else { waits.answer },
-                );
+            if acknowledged >= peers && is_in_core {
+                self.reply(pending.origin, pending.answer);
+            } else if now >= pending.until {
+                // No peer has acknowledged a worker's end: the worker has to repeat it at another process.
+                let is_unacknowledged =
+                    acknowledged == 0 && peers > 0 && matches!(pending.update, AwaitedUpdate::Worker(_));
+                let must_retry = is_unacknowledged || !is_in_core;
+                let answer =
+                    if must_retry { Answer::later(503, RETRY_LAST_CALL_AFTER) } else { pending.answer };
+                self.reply(pending.origin, answer);
             } else {
-                self.held.push(waits);
+                self.pending_acknowledgements.push(pending);
             }
         }
-        self.run_items();
-        self.report_tokens();
-        self.finish_reservations();
     }
 }
--- a/crates/coordinator/src/info.rs
+++ b/crates/coordinator/src/info.rs
@@ -1,58 +1,81 @@
-//! What a process is told of itself and the deployment.
+//! What a process is told at its start about itself and the deployment.
+//!
+//! All of it comes from the settings file and the machine; only the disk's identity changes while the process runs (see
+//! `replica_placement`).
 
 use std::net::SocketAddr;
 
 use rainlug::{SECOND, Time};
 use rainlug_consensus::MemberId;
 
-/// How long batch jobs are kept beyond the time for which they can be asked for: times of day of two leaders
-/// that differ, a read under way, and a margin (`docs/control-bounds.md`, *How long outputs stay*).
+/// How long batch jobs are kept beyond the time for which they can be asked for, in microseconds: it covers the clocks of two
+/// leaders that differ, a read that is under way, and a margin (`docs/control-bounds.md`, *How long outputs stay*).
 pub const KEEP_SLACK: Time = 20 * SECOND;
 
-/// What the process is told of itself and the deployment.
+/// What a process does for the tier.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ProcessRole {
+    /// It takes clients' requests; with a disk it may also hold a replica of the configuration's shard.
+    Gateway,
+    /// It holds replicas of batch-job shards.
+    Store,
+}
+
+impl ProcessRole {
+    /// Whether the process takes clients' requests.
+    pub fn is_gateway(self) -> bool {
+        self == ProcessRole::Gateway
+    }
+}
+
+/// A process's own settings, and the deployment's.
 #[derive(Clone, Debug)]
 pub struct NodeInfo {
-    pub node: String,
+    /// The machine's name, unique in the deployment.
+    pub node_name: String,
+    /// The failure domain that the machine is in.
     pub zone: String,
-    /// Where it hears its peers, by datagrams and connections.
-    pub at: SocketAddr,
+    /// Where peers reach this process, by datagrams and by connections.
+    pub peer_address: SocketAddr,
     /// Where it serves workers and operators, if it does.
-    pub control: Option<SocketAddr>,
-    /// It takes requests; otherwise it keeps batch jobs.
-    pub gateway: bool,
-    /// Its disk's identity; nothing where it has no disk.
+    pub control_address: Option<SocketAddr>,
+    /// What the process does for the tier.
+    pub role: ProcessRole,
+    /// The identity of its disk; none where it has no disk.
     pub disk: Option<MemberId>,
+    /// Whether the deployment starts for the first time: seeds then found the configuration's shard.
     pub first_boot: bool,
-    /// Where the seeds hear their peers.
+    /// The peer addresses of the seeds.
     pub seeds: Vec<SocketAddr>,
-    /// Machines with a disk that may be lost at once.
-    pub tolerate: usize,
-    /// Between two beats of a worker.
-    pub heartbeat: Time,
-    /// What its disk holds, in bytes.
+    /// How many machines with a disk may be lost at once without loss of data or service.
+    pub tolerated_failures: usize,
+    /// Between two heartbeats of a worker, in microseconds.
+    pub heartbeat_interval: Time,
+    /// The size of its disk, in bytes.
     pub disk_bytes: usize,
-    /// The memory that it may take, in bytes.
+    /// The memory that the whole process may take, in bytes.
     pub memory_bytes: usize,
-    /// What its machine's link carries; all processes of the machine share it.
+    /// What its machine's link carries each way; all processes of the machine share it.
     pub link_bytes_per_second: u64,
-    /// How soon after its start a machine with an empty disk has to have all of its parts again.
+    /// How soon after its start a machine with an empty disk must have all of its replicas again, in microseconds.
     pub sync_time: Time,
-    /// Whether calls that nobody answers go by another process; experiments leave that out.
-    pub relays: bool,
-    /// How long batch jobs are kept after they were sent.
+    /// Whether a call that nobody answers is sent once more through another process; experiments leave that out.
+    pub relays_enabled: bool,
+    /// How long batch jobs are kept after they were submitted, in microseconds.
     pub job_retention: Time,
+    /// Seeds the random number generator.
     pub seed: u64,
 }
 
 impl NodeInfo {
-    /// The members of a group when nothing is lost: a majority is left where `tolerate` of them are.
+    /// The members of a replica set when nothing is lost: a majority is left after `tolerated_failures` losses at once.
     pub fn target_members(&self) -> usize {
-        2 * self.tolerate + 1
+        2 * self.tolerated_failures + 1
     }
 
-    /// The fewest members that a group may have: half of them are left where `tolerate` are lost, and each entry is on more than
-    /// those (`docs/control.md`, *Losses one after the other*).
-    pub fn fewest_members(&self) -> usize {
-        (2 * self.tolerate).max(self.tolerate + 1)
+    /// The fewest members that a replica set may have: half of them are left after `tolerated_failures` losses, and each
+    /// committed entry is on more disks than are lost (`docs/control.md`, *Losses one after the other*).
+    pub fn min_members(&self) -> usize {
+        (2 * self.tolerated_failures).max(self.tolerated_failures + 1)
     }
 }
--- a/crates/coordinator/src/invariants.rs
+++ b/crates/coordinator/src/invariants.rs
@@ -45,9 +45,9 @@
 
 /// Violations since the process began.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Violations([u64; Invariant::ALL.len()]);
+pub struct ViolationCounts([u64; Invariant::ALL.len()]);
 
-impl Violations {
+impl ViolationCounts {
     fn count(&mut self, invariant: Invariant) {
         if let Some(count) = self.0.get_mut(invariant as usize) {
             *count += 1;
@@ -97,17 +97,17 @@
 
     /// What this store keeps leaves the process the memory that it needs besides.
     pub(crate) fn check_memory(&mut self) {
-        let (kept, limit) = self.kept_memory();
+        let (kept, limit) = self.state_memory();
         self.check(Invariant::FitsMemory, kept <= limit, || format!("{kept} bytes of {limit}"));
     }
 
     /// Violations of invariants at this process since it began.
-    pub fn violations(&self) -> &Violations {
+    pub fn violations(&self) -> &ViolationCounts {
         &self.violations
     }
 
     /// Figures as (name, value).
-    pub(crate) fn invariant_figures(&self) -> Vec<(String, f64)> {
+    pub(crate) fn invariant_metrics(&self) -> Vec<(String, f64)> {
         let figure = |(invariant, count): (Invariant, u64)| {
             (format!("invariant_violations_{}", invariant.name()), count as f64)
         };
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -41,11 +41,11 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 pub use api::{Answer, Call, Effect, Now};
-pub use info::{KEEP_SLACK, NodeInfo};
+pub use info::{KEEP_SLACK, NodeInfo, ProcessRole};
 
-use dissemination::{Held, News, Sink};
+use dissemination::{AwaitedUpdate, Outbox, PendingAcknowledgement};
 use frame::{DecodeError, Head, Request, split};
-use membership::COMPARING;
+use membership::{COMPARING_PERIOD, LivePeer};
 use quota::Reserved;
 use shard::Shard;
 use topology::Topology;
@@ -63,13 +63,13 @@
 /// logs together take a quarter of its disk before that.
 const LOGS_OF_A_DISK: usize = 4 * BATCH_SHARDS as usize;
 /// Between two looks at the duties.
-const BEAT: Time = SECOND / 5;
+const MAINTENANCE_INTERVAL: Time = SECOND / 5;
 /// The others of a new group stand for election so much later than its first one.
 const HEAD_START: Time = SECOND / 5;
 /// An answer that waits for its news to reach all waits no longer.
-const SPREADING: Time = SECOND / 5;
+const DISSEMINATION_TIMEOUT: Time = SECOND / 5;
 /// Beats that may be missing before a worker is called silent.
-const MISSED: f64 = 3.2;
+const MISSED_HEARTBEATS: f64 = 3.2;
 /// A pause in this process's own time that means that it stood still.
 const STOOD_STILL: Time = SECOND;
 
@@ -109,9 +109,9 @@
     view: View,
     seen: u64,
     /// Who lives, by where it hears its peers: whether it takes requests, and where it serves workers.
-    living: BTreeMap<SocketAddr, (bool, Option<SocketAddr>)>,
+    live_peers: BTreeMap<SocketAddr, LivePeer>,
     /// Since when somebody is not there.
-    gone: BTreeMap<SocketAddr, Time>,
+    absent_since: BTreeMap<SocketAddr, Time>,
     gossip: Gossip,
     topology: Topology,
     topology_version: u64,
@@ -122,36 +122,36 @@
     hints: BTreeMap<u16, SocketAddr>,
     /// Answers of ledgers that are not acted on yet.
     reservations: VecDeque<Reserved>,
-    held: Vec<Held>,
+    pending_acknowledgements: Vec<PendingAcknowledgement>,
     /// Whose duty a service's workers are, as long as the members are the same.
     registrars: RefCell<BTreeMap<String, Option<SocketAddr>>>,
     /// When the workers of services that are this process's duty were last heard.
     heartbeats: BTreeMap<String, Time>,
-    joiners: BTreeMap<MemberId, (Member, Time)>,
+    join_candidates: BTreeMap<MemberId, (Member, Time)>,
     /// Disks of the core that were seated before, by where they were.
     maintenance_at: Time,
     announce_at: Time,
-    shelves_since: Option<Time>,
+    enough_stores_since: Option<Time>,
     /// When it was last caught up with others, after a start, a cut or a freeze.
-    caught_up: Option<Time>,
-    begun: Time,
+    caught_up_at: Option<Time>,
+    started_at: Time,
     /// When anything came from a peer.
-    heard: Time,
+    last_contact: Time,
     /// Another process that takes requests is known, and has not left: to hear nothing means to be cut off.
-    has_fellows: bool,
+    has_known_gateways: bool,
     /// Until when what it missed is compared with others.
-    comparing: Time,
+    comparing_until: Time,
     admission: admission::Admission,
     reports: reports::ReportExchange,
     effects: Vec<Effect>,
     diagnostics: diagnostics::Diagnostics,
-    violations: invariants::Violations,
+    violations: invariants::ViolationCounts,
 }
 
 /// The figures of a process's card: its role, and the port where it serves workers.
 fn member_payload(info: &NodeInfo) -> Vec<u8> {
-    let mut payload = vec![u8::from(info.gateway)];
-    payload.extend(info.control.map_or(0, |c| c.port()).to_be_bytes());
+    let mut payload = vec![u8::from(info.role.is_gateway())];
+    payload.extend(info.control_address.map_or(0, |c| c.port()).to_be_bytes());
     payload
 }
 
@@ -159,7 +159,7 @@
     Settings {
         heartbeat: SECOND / 10,
         election: 4 * SECOND / 10,
-        copies: info.tolerate + 1,
+        copies: info.tolerated_failures + 1,
         // Of this are a few copies on the leader's link at once, one for each follower.
         most_bytes: 128 << 10,
         compact_bytes: (info.disk_bytes / LOGS_OF_A_DISK).clamp(4 << 20, 256 << 20),
@@ -181,9 +181,9 @@
         let mut rng = ChaCha8Rng::seed_from_u64(info.seed);
         let card = Card {
             id: rng.random::<u64>().max(1),
-            name: info.node.clone(),
+            name: info.node_name.clone(),
             zone: info.zone.clone(),
-            at: info.at,
+            at: info.peer_address,
             start: now.wall,
             edition: 0,
             figures: member_payload(&info),
@@ -194,8 +194,8 @@
         let mut coordinator = Coordinator {
             view,
             seen: 0,
-            living: BTreeMap::new(),
-            gone: BTreeMap::new(),
+            live_peers: BTreeMap::new(),
+            absent_since: BTreeMap::new(),
             gossip,
             topology: Topology::default(),
             topology_version: 0,
@@ -205,23 +205,23 @@
             nonce: rng.random::<u64>() >> 1,
             hints: BTreeMap::new(),
             reservations: VecDeque::new(),
-            held: Vec::new(),
+            pending_acknowledgements: Vec::new(),
             registrars: RefCell::default(),
             heartbeats: BTreeMap::new(),
-            joiners: BTreeMap::new(),
+            join_candidates: BTreeMap::new(),
             maintenance_at: now.steady,
             announce_at: now.steady,
-            shelves_since: None,
-            caught_up: None,
-            begun: now.steady,
-            heard: now.steady,
-            has_fellows: false,
-            comparing: now.steady,
+            enough_stores_since: None,
+            caught_up_at: None,
+            started_at: now.steady,
+            last_contact: now.steady,
+            has_known_gateways: false,
+            comparing_until: now.steady,
             admission: admission::Admission::default(),
             reports: reports::ReportExchange::default(),
             effects: Vec::new(),
             diagnostics: diagnostics::Diagnostics::default(),
-            violations: invariants::Violations::default(),
+            violations: invariants::ViolationCounts::default(),
             rng,
             info,
             now,
@@ -230,15 +230,15 @@
             let founding = if number == CONTROL { coordinator.founders() } else { Vec::new() };
             coordinator.open(number, founding, &records)?;
         }
-        let seed = coordinator.info.seeds.contains(&coordinator.info.at);
-        let founds = coordinator.info.disk == Some(founding_id(coordinator.info.at))
+        let seed = coordinator.info.seeds.contains(&coordinator.info.peer_address);
+        let founds = coordinator.info.disk == Some(founding_id(coordinator.info.peer_address))
             && seed
-            && coordinator.info.gateway;
+            && coordinator.info.role.is_gateway();
         if founds && !coordinator.shards.contains_key(&CONTROL) {
             let founding = coordinator.founders();
             coordinator.open(CONTROL, founding, &[])?;
         }
-        coordinator.settle();
+        coordinator.run_deferred_work();
         Ok(coordinator)
     }
 
@@ -254,8 +254,8 @@
 
     fn me(&self) -> Option<Member> {
         let info = &self.info;
-        let (name, zone) = (info.node.clone(), info.zone.clone());
-        Some(Member { id: info.disk?, name, zone, at: info.at })
+        let (name, zone) = (info.node_name.clone(), info.zone.clone());
+        Some(Member { id: info.disk?, name, zone, at: info.peer_address })
     }
 
     /// Opens the replica of a part.
@@ -288,7 +288,7 @@
     pub fn next(&self) -> Time {
         let shards = self.shards.values().map(|p| p.replica.next());
         let asks = self.asks.values().map(|a| a.next());
-        let held = self.held.iter().map(|h| h.until);
+        let held = self.pending_acknowledgements.iter().map(|h| h.until);
         let polls = self.shards.values().map(|p| p.next_poll());
         let reports = self.shards.values().filter_map(|p| p.reports.as_ref()).map(|r| r.next());
         let own = [self.view.next(), self.gossip.next(), self.maintenance_at];
@@ -307,37 +307,37 @@
                 self.drain(number);
             }
         }
-        let mut sink = Sink::new(&mut self.effects);
+        let mut outbox = Outbox::new(&mut self.effects);
         if self.view.next() <= now.steady {
-            self.view.due(now.steady, &mut sink);
+            self.view.due(now.steady, &mut outbox);
         }
         if stood_still {
-            self.comparing = now.steady + COMPARING;
-            self.gossip.catch_up(now.steady, &mut sink);
+            self.comparing_until = now.steady + COMPARING_PERIOD;
+            self.gossip.catch_up(now.steady, &mut outbox);
         }
         if self.gossip.next() <= now.steady {
-            self.gossip.due(now.steady, &mut sink);
+            self.gossip.due(now.steady, &mut outbox);
         }
-        let (workers, texts) = (sink.workers, sink.texts);
-        self.told_news(workers, texts);
+        let updates = outbox.into_updates();
+        self.apply_updates(updates);
         if self.maintenance_at <= now.steady {
-            self.maintenance_at = now.steady + BEAT;
+            self.maintenance_at = now.steady + MAINTENANCE_INTERVAL;
             self.run_maintenance();
             self.rewrite_where_due();
         }
         self.retry();
-        self.settle();
+        self.run_deferred_work();
     }
 
     /// A datagram's payload, from where it came.
     pub fn datagram(&mut self, now: Now, from: SocketAddr, payload: &[u8]) {
-        self.hear(now);
+        self.record_contact(now);
         if report::carries_reports(payload) {
-            return self.heard_reports(payload);
+            return self.receive_reports(payload);
         }
-        let mut sink = Sink::new(&mut self.effects);
-        let _ = self.view.heard(now.steady, from, payload, &mut sink);
-        self.settle();
+        let mut outbox = Outbox::new(&mut self.effects);
+        let _ = self.view.heard(now.steady, from, payload, &mut outbox);
+        self.run_deferred_work();
     }
 
     /// A frame that came over a connection of the peer at `from`.
@@ -346,13 +346,13 @@
     /// Where it is no frame of this tier; nothing has changed.
     pub fn frame(&mut self, now: Now, from: SocketAddr, bytes: &Bytes) -> Result<(), DecodeError> {
         let (head, tail): (Head, Bytes) = split(bytes)?;
-        self.hear(now);
+        self.record_contact(now);
         match head {
             Head::Gossip => {
-                let mut sink = Sink::new(&mut self.effects);
-                self.gossip.heard(now.steady, from, &tail, &mut sink);
-                let (workers, texts) = (sink.workers, sink.texts);
-                self.told_news(workers, texts);
+                let mut outbox = Outbox::new(&mut self.effects);
+                self.gossip.heard(now.steady, from, &tail, &mut outbox);
+                let updates = outbox.into_updates();
+                self.apply_updates(updates);
             }
             Head::Group { shard } => self.group(shard, &tail),
             Head::Ask { nonce, shard } => {
@@ -375,12 +375,15 @@
                 self.elsewhere(nonce, from, (leader.port != 0).then(|| leader.into()));
             }
         }
-        self.settle();
+        self.run_deferred_work();
         Ok(())
     }
 
     fn group(&mut self, number: u16, bytes: &Bytes) {
-        if self.info.disk.is_none() || self.info.gateway != (number == CONTROL) || number > BATCH_SHARDS {
+        if self.info.disk.is_none()
+            || self.info.role.is_gateway() != (number == CONTROL)
+            || number > BATCH_SHARDS
+        {
             return;
         }
         // A seat is given by the group. A founder must begin with the founding group, which no entry names: until the roster tells
@@ -406,9 +409,9 @@
         if number == CONTROL {
             return Some(Vec::new());
         }
-        let group = self.topology.groups.iter().find(|g| g.shard == number)?;
+        let group = self.topology.replica_sets.iter().find(|g| g.shard == number)?;
         let founder = group.founding.iter().any(|s| Some(s.id) == self.info.disk);
-        if founder { topology::members(&group.founding).ok() } else { Some(Vec::new()) }
+        if founder { topology::decode_members(&group.founding).ok() } else { Some(Vec::new()) }
     }
 
     /// All of a part's records up to a ticket are on the disk, in a file of this length.
@@ -419,7 +422,7 @@
             shard.replica.saved(now.steady, ticket);
             self.drain(number);
         }
-        self.settle();
+        self.run_deferred_work();
     }
 
     /// How the run of an item ended, with the events (id, data) that came.
@@ -434,21 +437,21 @@
     ) {
         self.now = now;
         self.item_ran(shard, job, item, events, end);
-        self.settle();
+        self.run_deferred_work();
     }
 
     /// The process ends: it tells the others.
     pub fn leave(&mut self, now: Now) {
         self.now = now;
-        let mut sink = Sink::new(&mut self.effects);
-        self.view.leave(&mut sink);
+        let mut outbox = Outbox::new(&mut self.effects);
+        self.view.leave(&mut outbox);
     }
 
     /// A connection to a peer broke or did not come up: what was asked there is asked elsewhere at once.
     pub fn unreachable(&mut self, now: Now, at: SocketAddr) {
         self.now = now;
         self.asked_in_vain(at);
-        self.settle();
+        self.run_deferred_work();
     }
 
     pub fn configuration(&self) -> Option<&Configuration> {
@@ -458,7 +461,7 @@
     /// Figures as (name, value).
     pub fn metrics(&self) -> Vec<(String, f64)> {
         let mut metrics = vec![
-            ("members_living".to_owned(), self.living.len() as f64 + 1.0),
+            ("members_living".to_owned(), self.live_peers.len() as f64 + 1.0),
             (
                 "configuration_version".to_owned(),
                 self.configuration.as_ref().map_or(0.0, |c| c.version as f64),
@@ -469,10 +472,10 @@
         for shard in self.shards.values() {
             metrics.extend(shard.metrics());
         }
-        if !self.info.gateway {
-            metrics.extend(self.room_figures());
+        if !self.info.role.is_gateway() {
+            metrics.extend(self.capacity_metrics());
         }
-        metrics.extend(self.invariant_figures());
+        metrics.extend(self.invariant_metrics());
         metrics
     }
 
--- a/crates/coordinator/src/listing.rs
+++ b/crates/coordinator/src/listing.rs
@@ -130,7 +130,8 @@
         let mut lines: Vec<StoreListing> = Vec::new();
         for (member, retiring) in self.shelved() {
             let holds = |seats: &[MemberRecord]| seats.iter().any(|s| s.id == member.id);
-            let shards = self.topology.groups.iter().filter(|g| holds(&g.members)).map(|g| g.shard).collect();
+            let shards =
+                self.topology.replica_sets.iter().filter(|g| holds(&g.members)).map(|g| g.shard).collect();
             let standing = stands(member.at).unwrap_or("unknown");
             lines.push(StoreListing {
                 name: member.name,
@@ -146,7 +147,7 @@
     }
 
     fn shelved(&self) -> impl Iterator<Item = (Member, bool)> {
-        self.topology.stores.iter().filter_map(|s| Some((s.seat.member().ok()?, s.is_retiring())))
+        self.topology.stores.iter().filter_map(|s| Some((s.member.member().ok()?, s.is_retiring())))
     }
 
     /// All parts, as far as this process knows: of a part that it has no replica in, by the roster and by where calls went last.
@@ -163,9 +164,9 @@
                     (shard.replica.leader().map(|m| m.at), seats, shard.replica.term())
                 }
                 None => {
-                    let listed = self.topology.groups.iter().find(|g| g.shard == number);
+                    let listed = self.topology.replica_sets.iter().find(|g| g.shard == number);
                     let seats = if number == CONTROL {
-                        Some(&self.topology.core)
+                        Some(&self.topology.configuration_members)
                     } else {
                         listed.map(|g| &g.members)
                     };
--- a/crates/coordinator/src/lost_membership.rs
+++ b/crates/coordinator/src/lost_membership.rs
@@ -24,37 +24,37 @@
 
 impl Coordinator {
     /// Gives up the replicas that no group counts on any more.
-    pub(crate) fn vacate_lost_seats(&mut self) {
+    pub(crate) fn tombstone_lost_memberships(&mut self) {
         for number in 1..=BATCH_SHARDS {
-            let may_go = self.has_lost_seat(number);
+            let may_go = self.has_lost_membership(number);
             let now = self.now.steady;
             let Some(shard) = self.shards.get_mut(&number) else { continue };
             if !may_go {
-                shard.seatless_since = None;
+                shard.lost_membership_since = None;
                 continue;
             }
-            if now - *shard.seatless_since.get_or_insert(now) >= QUIET {
-                self.vacate(number);
+            if now - *shard.lost_membership_since.get_or_insert(now) >= QUIET {
+                self.tombstone_replica(number);
             }
         }
     }
 
-    fn has_lost_seat(&self, number: u16) -> bool {
+    fn has_lost_membership(&self, number: u16) -> bool {
         let (Some(shard), Some(disk)) = (self.shards.get(&number), self.info.disk) else { return false };
         let replica = &shard.replica;
         !replica.is_vacant()
             && !replica.has_backlog()
             && replica.leader().is_none()
-            && self.topology.is_without(number, disk, replica.group_index())
+            && self.topology.excludes_disk(number, disk, replica.group_index())
     }
 
-    fn vacate(&mut self, number: u16) {
+    fn tombstone_replica(&mut self, number: u16) {
         let now = self.now.steady;
         let Some(shard) = self.shards.get_mut(&number) else { return };
         if !shard.replica.vacate(now) {
             return;
         }
-        shard.seatless_since = None;
+        shard.lost_membership_since = None;
         shard.restoring = None;
         shard.compact_wanted = false;
         (shard.machine, shard.quota_ledger) = (Machine::empty(number), Default::default());
--- a/crates/coordinator/src/maintenance.rs
+++ b/crates/coordinator/src/maintenance.rs
@@ -8,13 +8,13 @@
 
 use crate::calls::Goal;
 use crate::frame::{MemberRecord, Request};
-use crate::{BATCH_SHARDS, CONTROL, Coordinator, Effect, MISSED};
+use crate::{BATCH_SHARDS, CONTROL, Coordinator, Effect, MISSED_HEARTBEATS};
 
 /// Between two words of a process about itself.
 pub(crate) const ANNOUNCE: Time = SECOND;
 impl Coordinator {
     pub(crate) fn run_maintenance(&mut self) {
-        self.silent();
+        self.mark_unresponsive_workers();
         self.diagnose();
         self.check_memory();
         if self.announce_at <= self.now.steady {
@@ -23,23 +23,24 @@
         }
         if self.shards.get(&CONTROL).is_some_and(|p| p.led) {
             self.post();
-            self.seat_core();
+            self.place_configuration_members();
             self.create_shards();
-            self.fence_absent();
+            self.fence_absent_disks();
         }
         for number in 1..=BATCH_SHARDS {
             if self.shards.get(&number).is_some_and(|p| p.replica.is_elected()) {
-                self.seat_stores(number);
+                self.place_store_members(number);
             }
         }
-        self.vacate_lost_seats();
+        self.tombstone_lost_memberships();
         self.watch_routes();
     }
 
     /// Workers whose beats are this process's duty, and do not come.
-    fn silent(&mut self) {
-        let (now, patience) = (self.now.steady, (self.info.heartbeat as f64 * MISSED) as Time);
-        if !self.info.gateway {
+    fn mark_unresponsive_workers(&mut self) {
+        let (now, patience) =
+            (self.now.steady, (self.info.heartbeat_interval as f64 * MISSED_HEARTBEATS) as Time);
+        if !self.info.role.is_gateway() {
             return;
         }
         if self.is_isolated(self.now) {
@@ -50,7 +51,7 @@
         let mut quiet = Vec::new();
         let mut mine = BTreeSet::new();
         for worker in self.gossip.workers().filter(|w| w.phase == Phase::Ready) {
-            if self.registrar(&worker.service) != Some(self.info.at) {
+            if self.registrar(&worker.service) != Some(self.info.peer_address) {
                 continue;
             }
             mine.insert(worker.id.clone());
@@ -67,7 +68,7 @@
             self.heartbeats.remove(&worker.id);
             worker.phase = Phase::Silent;
             self.effects.push(Effect::Log("silent", worker.id.clone()));
-            self.enter(worker);
+            self.publish_worker(worker);
         }
     }
 
@@ -75,8 +76,8 @@
     fn announce(&mut self) {
         let Some(me) = self.me() else { return };
         let seat = MemberRecord::from(&me);
-        if self.info.gateway {
-            if !self.topology.core.iter().any(|s| s.id == me.id) {
+        if self.info.role.is_gateway() {
+            if !self.topology.configuration_members.iter().any(|s| s.id == me.id) {
                 self.ask(
                     CONTROL,
                     &Request::Join { seat },
@@ -87,7 +88,7 @@
                     503,
                 );
             }
-        } else if !self.topology.stores.iter().any(|s| s.seat == seat) {
+        } else if !self.topology.stores.iter().any(|s| s.member == seat) {
             self.ask(CONTROL, &Request::Shelve { seat }, bytes::Bytes::new(), Goal::Nobody, ANNOUNCE, 0, 503);
         }
     }
--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -1,4 +1,8 @@
-//! Who lives, whose duty a service's workers are, and whether this process is cut off from the others.
+//! Which peers are alive, which gateway is the registrar of a service's workers, and whether this process is isolated.
+//!
+//! The failure detector (SWIM, in `rainlug-fleet`) decides who is alive; here its view becomes what the rest of the coordinator
+//! asks for. An isolated process stops acting on what it knows: it refuses clients and workers' last calls until it has heard
+//! from a peer and has compared its state with others.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,110 +11,146 @@
 use rainlug_fleet::Standing;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::dissemination::Sink;
+use crate::dissemination::Outbox;
 use crate::{CONTROL, Coordinator, Effect, Now};
 
-/// Who has others, and has heard nothing of them for so long, is cut off.
-const CUT_OFF: Time = 12 * SECOND / 10;
-/// How long a process that was cut off, or stood still, compares what it knows with others before it takes clients again.
-pub(crate) const COMPARING: Time = 3 * SECOND / 10;
+/// A process that knows peers and has received nothing from any of them for so long is isolated, in microseconds.
+const ISOLATION_TIMEOUT: Time = 12 * SECOND / 10;
+/// How long a process that was isolated, or whose own clock stood still, compares its state with others before it takes clients
+/// again, in microseconds.
+pub(crate) const COMPARING_PERIOD: Time = 3 * SECOND / 10;
+/// Between two comparisons that are started because peers appeared, in microseconds.
+const CATCH_UP_INTERVAL: Time = SECOND / 4;
+/// How long a comparison gets before this process counts as ready, in microseconds.
+const CATCH_UP_PERIOD: Time = SECOND / 10;
+/// A process that has met no peer for so long after its start counts as the only one, in microseconds.
+const ALONE_AFTER: Time = 3 * SECOND;
+/// How long it is remembered since when a peer is absent, in microseconds.
+const ABSENCE_RETENTION: Time = 600 * SECOND;
+
+/// A peer that the failure detector does not count as gone.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct LivePeer {
+    /// Whether it takes clients' requests.
+    pub is_gateway: bool,
+    /// Where it serves workers and operators, if it does.
+    pub control_address: Option<SocketAddr>,
+}
+
+/// The peers that the failure detector's view lists.
+struct KnownPeers {
+    live: BTreeMap<SocketAddr, LivePeer>,
+    /// Peer addresses of the live ones, by zone.
+    zones: BTreeMap<String, Vec<SocketAddr>>,
+    /// Another gateway is known that has not left, be it alive or not.
+    has_gateways: bool,
+}
 
 impl Coordinator {
-    pub(crate) fn members(&mut self) {
+    /// Takes over a changed view of the failure detector.
+    pub(crate) fn update_membership(&mut self) {
         let now = self.now.steady;
-        let mut living = BTreeMap::new();
-        let mut zones: BTreeMap<String, Vec<SocketAddr>> = BTreeMap::new();
-        self.has_fellows = false;
+        let KnownPeers { live, zones, has_gateways } = self.known_peers();
+        self.has_known_gateways = has_gateways;
+        for address in self.live_peers.keys().filter(|address| !live.contains_key(address)) {
+            self.absent_since.insert(*address, now);
+        }
+        let newcomers: BTreeSet<SocketAddr> =
+            live.keys().filter(|address| !self.live_peers.contains_key(address)).copied().collect();
+        self.absent_since
+            .retain(|address, since| !live.contains_key(address) && now - *since < ABSENCE_RETENTION);
+        let gateways = live.values().filter(|peer| peer.is_gateway).count();
+        let gateways_before = self.live_peers.values().filter(|peer| peer.is_gateway).count();
+        self.live_peers = live;
+        self.reports.members(&self.info.zone, self.info.peer_address, zones);
+        self.registrars.borrow_mut().clear();
+        let peers: Vec<SocketAddr> = self.live_peers.keys().copied().collect();
+        self.gossip.peers(now, &peers);
+        if gateways != gateways_before || self.caught_up_at.is_none() {
+            self.effects.push(Effect::Others(gateways));
+        }
+        // Whoever meets others again, after its start or a partition, compares with them at once.
+        let is_due =
+            self.caught_up_at.is_none_or(|at| now - at > CATCH_UP_INTERVAL) || now < self.comparing_until;
+        if !newcomers.is_empty() && is_due {
+            self.caught_up_at = Some(now);
+            self.catch_up();
+        }
+    }
+
+    /// The peers in the failure detector's view, without this process and those that left.
+    fn known_peers(&self) -> KnownPeers {
+        let mut known = KnownPeers { live: BTreeMap::new(), zones: BTreeMap::new(), has_gateways: false };
         for member in self.view.members() {
             for (card, standing, _) in member.processes {
-                if card.at == self.info.at || standing == Standing::Left {
+                if card.at == self.info.peer_address || standing == Standing::Left {
                     continue;
                 }
-                let (role, port) = match card.figures[..] {
+                let (is_gateway, port) = match card.figures[..] {
                     [role, high, low, ..] => (role == 1, u16::from_be_bytes([high, low])),
                     _ => continue,
                 };
-                self.has_fellows |= role;
+                known.has_gateways |= is_gateway;
                 if standing > Standing::Suspect {
                     continue;
                 }
-                zones.entry(card.zone.clone()).or_default().push(card.at);
-                let control = (port != 0).then(|| SocketAddr::new(card.at.ip(), port));
-                living.insert(card.at, (role, control));
+                known.zones.entry(card.zone.clone()).or_default().push(card.at);
+                let control_address = (port != 0).then(|| SocketAddr::new(card.at.ip(), port));
+                known.live.insert(card.at, LivePeer { is_gateway, control_address });
             }
         }
-        for at in self.living.keys().filter(|at| !living.contains_key(at)) {
-            self.gone.insert(*at, now);
-        }
-        let newcomers: BTreeSet<SocketAddr> =
-            living.keys().filter(|at| !self.living.contains_key(at)).copied().collect();
-        self.gone.retain(|at, since| !living.contains_key(at) && now - *since < 600 * SECOND);
-        let gateways = living.values().filter(|(gateway, _)| *gateway).count();
-        let before = self.living.values().filter(|(gateway, _)| *gateway).count();
-        self.living = living;
-        self.reports.members(&self.info.zone, self.info.at, zones);
-        self.registrars.borrow_mut().clear();
-        let peers: Vec<SocketAddr> = self.living.keys().copied().collect();
-        self.gossip.peers(now, &peers);
-        if gateways != before || self.caught_up.is_none() {
-            self.effects.push(Effect::Others(gateways));
-        }
-        // Who meets others again, after its start or a cut, compares with them at once.
-        let due = self.caught_up.is_none_or(|at| now - at > SECOND / 4) || now < self.comparing;
-        if !newcomers.is_empty() && due {
-            self.caught_up = Some(now);
-            self.catch_up();
-        }
+        known
     }
 
-    /// Where the beats of a service's workers go: who takes requests and lives, by rendezvous hash.
+    /// The gateway that takes the heartbeats of a service's workers: the highest by rendezvous hash among those alive.
     pub(crate) fn registrar(&self, service: &str) -> Option<SocketAddr> {
         if let Some(known) = self.registrars.borrow().get(service) {
             return *known;
         }
-        let weigh = |at: &SocketAddr| {
-            xxh3_64_with_seed(service.as_bytes(), xxh3_64_with_seed(at.to_string().as_bytes(), 1))
+        let weigh = |address: &SocketAddr| {
+            xxh3_64_with_seed(service.as_bytes(), xxh3_64_with_seed(address.to_string().as_bytes(), 1))
         };
-        let others = self.living.iter().filter(|(_, (gateway, control))| *gateway && control.is_some());
-        let all = others.map(|(at, _)| *at).chain(self.info.gateway.then_some(self.info.at));
-        let found = all.max_by_key(weigh);
+        let others =
+            self.live_peers.iter().filter(|(_, peer)| peer.is_gateway && peer.control_address.is_some());
+        let own = self.info.role.is_gateway().then_some(self.info.peer_address);
+        let found = others.map(|(address, _)| *address).chain(own).max_by_key(weigh);
         self.registrars.borrow_mut().insert(service.to_owned(), found);
         found
     }
 
-    /// A peer is heard. After a cut what was missed is asked for at once.
-    pub(crate) fn hear(&mut self, now: Now) {
+    /// Something came from a peer. Where that ends an isolation, what was missed is asked for at once.
+    pub(crate) fn record_contact(&mut self, now: Now) {
         let was_isolated = self.is_isolated(now);
-        (self.now, self.heard) = (now, now.steady);
+        (self.now, self.last_contact) = (now, now.steady);
         if was_isolated {
-            self.comparing = now.steady + COMPARING;
+            self.comparing_until = now.steady + COMPARING_PERIOD;
             self.catch_up();
         }
     }
 
-    /// Compares what it knows with several others.
+    /// Compares what it knows with several others (anti-entropy).
     pub(crate) fn catch_up(&mut self) {
-        let mut sink = Sink::new(&mut self.effects);
-        self.gossip.catch_up(self.now.steady, &mut sink);
-        let (workers, texts) = (sink.workers, sink.texts);
-        self.told_news(workers, texts);
+        let mut outbox = Outbox::new(&mut self.effects);
+        self.gossip.catch_up(self.now.steady, &mut outbox);
+        let updates = outbox.into_updates();
+        self.apply_updates(updates);
     }
 
-    /// Whether it knows of fellows and has heard nothing of anybody for a while: it is cut off, or the only one left. Who still leads
-    /// the configuration's part then is a quorum by itself.
+    /// Whether it knows other gateways and has received nothing from anybody for a while: a partition has cut it off, or it is
+    /// the only one left. A process that still leads the configuration's shard then is a quorum by itself, and not isolated.
     pub(crate) fn is_isolated(&self, now: Now) -> bool {
-        let silent = self.has_fellows && now.steady - self.heard > CUT_OFF;
-        silent && !self.shards.get(&CONTROL).is_some_and(|shard| shard.replica.leads())
+        let hears_nobody = self.has_known_gateways && now.steady - self.last_contact > ISOLATION_TIMEOUT;
+        hears_nobody && !self.shards.get(&CONTROL).is_some_and(|shard| shard.replica.leads())
     }
 
-    /// Whether it may be given clients: it knows a configuration, has heard of others or is alone, and is not cut off: who lives
-    /// among others hears of them several times a second. After a cut it has compared what it knows with others first.
-    pub fn ready(&self, now: Now) -> bool {
-        if self.is_isolated(now) || now.steady < self.comparing {
+    /// Whether it may be given clients: it has a configuration, has met others or is alone, and is not isolated (among live
+    /// peers something arrives several times a second). After an isolation it has compared its state with others first.
+    pub fn is_ready(&self, now: Now) -> bool {
+        if self.is_isolated(now) || now.steady < self.comparing_until {
             return false;
         }
         let now = now.steady;
-        let met = self.caught_up.is_some_and(|at| now - at > SECOND / 10) || now - self.begun > 3 * SECOND;
-        self.configuration.is_some() && met
+        let has_met_peers = self.caught_up_at.is_some_and(|at| now - at > CATCH_UP_PERIOD);
+        self.configuration.is_some() && (has_met_peers || now - self.started_at > ALONE_AFTER)
     }
 }
--- a/crates/coordinator/src/replica_placement.rs
+++ b/crates/coordinator/src/replica_placement.rs
@@ -15,7 +15,7 @@
 use crate::frame::{MemberRecord, Request, join};
 use crate::maintenance::ANNOUNCE;
 use crate::shard::Machine;
-use crate::topology::members;
+use crate::topology::decode_members;
 use crate::{BATCH_SHARDS, CONTROL, Coordinator, Effect, Origin, gossip};
 
 /// Who has not been there for so long loses a seat, if another one can have it.
@@ -47,7 +47,7 @@
 
     /// The first group of another part: zones in turn, in each of them who has the fewest seats. Equals are taken in an order that
     /// is turned by the part's number. The first seat goes to who has the fewest of these.
-    fn next_group(&self, stores: &[Member], number: u16, target: usize) -> Vec<Member> {
+    fn next_replica_set(&self, stores: &[Member], number: u16, target: usize) -> Vec<Member> {
         let count = |counts: &BTreeMap<MemberId, usize>, m: &Member| counts.get(&m.id).copied().unwrap_or(0);
         let turned: Vec<&Member> =
             (0..stores.len()).map(|i| &stores[(i + usize::from(number)) % stores.len()]).collect();
@@ -68,21 +68,21 @@
 }
 
 impl Coordinator {
-    fn absent(&self, at: &SocketAddr) -> bool {
-        self.absent_for(at) > ABSENT
+    fn is_absent(&self, at: &SocketAddr) -> bool {
+        self.absence(at) > ABSENT
     }
 
     /// How long it has not been there; 0 where it is.
-    fn absent_for(&self, at: &SocketAddr) -> Time {
-        if *at == self.info.at || self.living.contains_key(at) {
+    fn absence(&self, at: &SocketAddr) -> Time {
+        if *at == self.info.peer_address || self.live_peers.contains_key(at) {
             return 0;
         }
-        self.now.steady - self.gone.get(at).copied().unwrap_or(self.begun)
+        self.now.steady - self.absent_since.get(at).copied().unwrap_or(self.started_at)
     }
 
     /// Where a member of a part's group would best be replaced by, or joined by, one of those: in a zone that has the fewest of
     /// the others; there, who has the fewest seats over all parts of batch jobs.
-    fn best<'a>(
+    fn best_candidate<'a>(
         &self,
         number: u16,
         others: &[Member],
@@ -91,13 +91,13 @@
         let crowd = |zone: &str| others.iter().filter(|m| m.zone == zone).count();
         // Leaders of several parts that look for a seat at once do not all find the same store.
         let turn = |m: &Member| xxh3_64_with_seed(&m.id.to_le_bytes(), u64::from(number));
-        from.min_by_key(|m| (crowd(&m.zone), self.topology.seats_of(m.id), turn(m))).cloned()
+        from.min_by_key(|m| (crowd(&m.zone), self.topology.replica_count(m.id), turn(m))).cloned()
     }
 
     /// The seats of the configuration's group.
-    pub(crate) fn seat_core(&mut self) {
+    pub(crate) fn place_configuration_members(&mut self) {
         let now = self.now.steady;
-        self.joiners.retain(|_, (_, heard)| now - *heard < 3 * ANNOUNCE);
+        self.join_candidates.retain(|_, (_, heard)| now - *heard < 3 * ANNOUNCE);
         let target = self.info.target_members();
         let Some(shard) = self.shards.get(&CONTROL) else { return };
         let (members, settled) = shard.replica.members();
@@ -106,7 +106,7 @@
         }
         let members = members.to_vec();
         let fresh: Vec<Member> = self
-            .joiners
+            .join_candidates
             .values()
             .map(|(m, _)| m)
             .filter(|m| members.iter().all(|s| s.id != m.id))
@@ -117,24 +117,25 @@
         // The same machine with another disk; then who is gone; then free seats.
         let same =
             fresh.iter().find_map(|f| members.iter().find(|m| m.at == f.at).map(|m| (m.clone(), f.clone())));
-        let gone = members.iter().find(|m| self.absent(&m.at)).cloned();
+        let gone = members.iter().find(|m| self.is_absent(&m.at)).cloned();
         let next = if let Some((old, new)) = same {
             Some([without(&old), vec![new]].concat())
         } else if let Some(old) = gone {
             let rest = without(&old);
-            self.best(CONTROL, &rest, fresh.iter().filter(|f| !self.absent(&f.at)))
+            self.best_candidate(CONTROL, &rest, fresh.iter().filter(|f| !self.is_absent(&f.at)))
                 .map(|new| [rest, vec![new]].concat())
         } else if members.len() < target {
-            self.best(CONTROL, &members, fresh.iter()).map(|new| [members.clone(), vec![new]].concat())
+            self.best_candidate(CONTROL, &members, fresh.iter())
+                .map(|new| [members.clone(), vec![new]].concat())
         } else {
             None
         };
         if let Some(next) = next {
-            self.reseat(CONTROL, next);
+            self.change_replica_set(CONTROL, next);
         }
     }
 
-    fn reseat(&mut self, number: u16, next: Vec<Member>) {
+    fn change_replica_set(&mut self, number: u16, next: Vec<Member>) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
         if shard.replica.change(self.now.steady, next.clone()).is_ok() {
             let names: Vec<String> = next.iter().map(|m| format!("{}@{}", m.name, m.at)).collect();
@@ -146,7 +147,7 @@
     /// The first groups of the parts of batch jobs.
     pub(crate) fn create_shards(&mut self) {
         let now = self.now.steady;
-        let (least, target) = (self.info.fewest_members(), self.info.target_members());
+        let (least, target) = (self.info.min_members(), self.info.target_members());
         let Some(control) = self.shards.get(&CONTROL).and_then(|p| p.control()) else { return };
         let stores: Vec<Member> =
             control.stores.values().filter(|s| !s.is_retiring()).map(|s| s.member.clone()).collect();
@@ -154,20 +155,20 @@
         if missing.is_empty() || stores.len() < least {
             return;
         }
-        let since = *self.shelves_since.get_or_insert(now);
+        let since = *self.enough_stores_since.get_or_insert(now);
         if stores.len() < target && now - since < GATHER {
             return;
         }
         let mut founded = Founded::default();
         control.groups.values().for_each(|group| founded.add(&group.members));
         for number in missing {
-            let group = founded.next_group(&stores, number, target);
+            let group = founded.next_replica_set(&stores, number, target);
             founded.add(&group);
-            self.propose_duty(Change::founded(number, &group));
+            self.propose_maintenance(Change::founded(number, &group));
         }
     }
 
-    fn propose_duty(&mut self, change: Change) {
+    fn propose_maintenance(&mut self, change: Change) {
         self.nonce += 1;
         let nonce = self.nonce;
         // Its own nonce is nobody's: whether it took effect is seen in the state.
@@ -175,13 +176,13 @@
     }
 
     /// Parts that were founded with this store among them, and that it does not have, begin here.
-    pub(crate) fn founded(&mut self) {
-        let Some(me) = self.me().filter(|_| !self.info.gateway) else { return };
-        for group in self.topology.groups.clone() {
+    pub(crate) fn open_founded_shards(&mut self) {
+        let Some(me) = self.me().filter(|_| !self.info.role.is_gateway()) else { return };
+        for group in self.topology.replica_sets.clone() {
             if self.shards.contains_key(&group.shard) || !group.founding.iter().any(|s| s.id == me.id) {
                 continue;
             }
-            if let Ok(founding) = members(&group.founding) {
+            if let Ok(founding) = decode_members(&group.founding) {
                 let _ = self.open(group.shard, founding, &[]);
             }
         }
@@ -189,11 +190,11 @@
 
     /// Fences disks whose absence leaves a group of batch jobs without a majority, where another store could have the seat. That a
     /// fenced one may only be cut off does no harm: it takes a new identity when it hears of it.
-    pub(crate) fn fence_absent(&mut self) {
+    pub(crate) fn fence_absent_disks(&mut self) {
         let Some(control) = self.shards.get(&CONTROL).and_then(|p| p.control()) else { return };
         let mut fences: Vec<MemberId> = Vec::new();
         for group in control.groups.values() {
-            let absent = |m: &&Member| self.absent_for(&m.at) > FENCE_ABSENT;
+            let absent = |m: &&Member| self.absence(&m.at) > FENCE_ABSENT;
             let gone: Vec<&Member> = group.members.iter().filter(absent).collect();
             let half = group.members.len() / 2;
             let decides = group.members.len() - gone.len() > half;
@@ -201,7 +202,7 @@
             let could_have_the_seat = control.stores.values().any(|s| {
                 !s.is_retiring()
                     && !control.is_fenced(s.member.id)
-                    && self.living.contains_key(&s.member.at)
+                    && self.live_peers.contains_key(&s.member.at)
                     && group.members.iter().all(|m| m.id != s.member.id)
             });
             if !decides && is_tied && could_have_the_seat {
@@ -210,12 +211,12 @@
         }
         for disk in fences {
             self.effects.push(Effect::Log("fence", format!("disk {disk:x}")));
-            self.propose_duty(Change::Fence { disk });
+            self.propose_maintenance(Change::Fence { disk });
         }
     }
 
     /// All replicas of batch jobs here learn which disks are fenced.
-    pub(crate) fn fence_shards(&mut self) {
+    pub(crate) fn apply_fences(&mut self) {
         for number in 1..=BATCH_SHARDS {
             if let Some(shard) = self.shards.get_mut(&number) {
                 shard.replica.fence(self.now.steady, self.topology.fenced.iter().copied());
@@ -225,23 +226,24 @@
     }
 
     /// A store whose disk was fenced and has no seat any more is a store with a new disk from now on.
-    pub(crate) fn renew_fenced_disk(&mut self) {
-        let Some(disk) = self.info.disk.filter(|disk| !self.info.gateway && self.topology.is_fenced(*disk))
+    pub(crate) fn replace_fenced_disk_identity(&mut self) {
+        let Some(disk) =
+            self.info.disk.filter(|disk| !self.info.role.is_gateway() && self.topology.is_fenced(*disk))
         else {
             return;
         };
         let has_seat = |number: u16| {
-            let group = self.topology.group(number);
+            let group = self.topology.replica_set(number);
             group.is_none_or(|group| group.members.iter().any(|seat| seat.id == disk))
         };
         if (1..=BATCH_SHARDS).any(has_seat) {
             return;
         }
-        self.renew_disk(disk);
+        self.replace_disk_identity(disk);
     }
 
     /// The store is one with an empty disk from now on.
-    fn renew_disk(&mut self, disk: MemberId) {
+    fn replace_disk_identity(&mut self, disk: MemberId) {
         self.shards.clear();
         let new: MemberId = self.rng.random::<u64>().max(1);
         self.info.disk = Some(new);
@@ -251,22 +253,22 @@
 
     /// What the disk holds of a part cannot be read, so this process must neither serve nor vote by it. A store counts its disk as
     /// lost and is filled again; a member of the configuration's part takes no part in it until it is replaced.
-    pub(crate) fn give_up_disk(&mut self, number: u16) {
+    pub(crate) fn discard_disk(&mut self, number: u16) {
         if number == CONTROL {
             self.shards.remove(&CONTROL);
             self.info.disk = None;
         } else if let Some(disk) = self.info.disk {
-            self.renew_disk(disk);
+            self.replace_disk_identity(disk);
         }
     }
 
     /// The seats of a part of batch jobs whose elected leader this is.
-    fn next_group(&self, number: u16, members: &[Member]) -> Option<Vec<Member>> {
+    fn next_replica_set(&self, number: u16, members: &[Member]) -> Option<Vec<Member>> {
         let listed: Vec<(Member, bool)> = self
             .topology
             .stores
             .iter()
-            .filter_map(|s| Some((s.seat.member().ok()?, s.is_retiring())))
+            .filter_map(|s| Some((s.member.member().ok()?, s.is_retiring())))
             .collect();
         let is_listed = |m: &Member| listed.iter().any(|(l, _)| l.id == m.id);
         let is_retiring = |m: &Member| listed.iter().any(|(l, retiring)| l.id == m.id && *retiring);
@@ -274,33 +276,33 @@
             !retiring
                 && !self.topology.is_fenced(store.id)
                 && members.iter().all(|m| m.id != store.id)
-                && self.living.contains_key(&store.at)
+                && self.live_peers.contains_key(&store.at)
         };
         let may_leave = |m: &Member| is_retiring(m) || self.topology.is_fenced(m.id);
         let spare: Vec<&Member> = listed.iter().filter(could_join).map(|(store, _)| store).collect();
         // First those that hold nothing any more, then those that are to go, then those that may come back.
         let lost = members.iter().find(|m| self.topology.is_fenced(m.id) || !is_listed(m));
         let leaving = members.iter().find(|m| is_retiring(m));
-        let gone = members.iter().find(|m| self.absent(&m.at));
+        let gone = members.iter().find(|m| self.is_absent(&m.at));
         match lost.or(leaving).or(gone) {
             Some(out) => {
                 let rest: Vec<Member> = members.iter().filter(|m| m.id != out.id).cloned().collect();
-                match self.best(number, &rest, spare.iter().copied()) {
+                match self.best_candidate(number, &rest, spare.iter().copied()) {
                     Some(new) => Some([rest, vec![new]].concat()),
                     // Nobody can have its seat. A fenced one gives it up too, and comes back as a new disk.
-                    None if may_leave(out) && rest.len() >= self.info.fewest_members() => Some(rest),
+                    None if may_leave(out) && rest.len() >= self.info.min_members() => Some(rest),
                     None => None,
                 }
             }
             None if members.len() < self.info.target_members() => {
-                let new = self.best(number, members, spare.iter().copied())?;
+                let new = self.best_candidate(number, members, spare.iter().copied())?;
                 Some([members.to_vec(), vec![new]].concat())
             }
             None => None,
         }
     }
 
-    pub(crate) fn seat_stores(&mut self, number: u16) {
+    pub(crate) fn place_store_members(&mut self, number: u16) {
         let Some(shard) = self.shards.get(&number) else { return };
         let (members, settled) = shard.replica.members();
         if !settled
@@ -310,26 +312,26 @@
             return;
         }
         let members = members.to_vec();
-        match self.next_group(number, &members) {
-            Some(next) => self.reseat(number, next),
-            None => self.tell_group(number, &members),
+        match self.next_replica_set(number, &members) {
+            Some(next) => self.change_replica_set(number, next),
+            None => self.publish_replica_set(number, &members),
         }
     }
 
     /// Tells the configuration's part of the group as it stands, once it has been handed over and all that live hold nearly all.
-    fn tell_group(&mut self, number: u16, group: &[Member]) {
+    fn publish_replica_set(&mut self, number: u16, group: &[Member]) {
         let Some(shard) = self.shards.get(&number).filter(|p| p.led && p.replica.is_handed_over()) else {
             return;
         };
         let (term, index) = (shard.replica.term(), shard.replica.group_index());
         let behind = shard.replica.behind();
         let holds_all = |m: &Member| {
-            m.at == self.info.at
+            m.at == self.info.peer_address
                 || behind.iter().any(|(id, lacks)| *id == m.id && *lacks < NEARLY_ALL)
-                || self.absent(&m.at)
+                || self.is_absent(&m.at)
         };
         let retirements = self.topology.retirements;
-        let is_known = self.topology.group(number).is_some_and(|told| {
+        let is_known = self.topology.replica_set(number).is_some_and(|told| {
             let same = told.members.iter().map(|s| s.id).eq(group.iter().map(|m| m.id));
             same && told.retirements == retirements && told.index >= index
         });
--- a/crates/coordinator/src/reports.rs
+++ b/crates/coordinator/src/reports.rs
@@ -100,7 +100,7 @@
     }
 
     /// A datagram of another process's reports.
-    pub(crate) fn heard_reports(&mut self, payload: &[u8]) {
+    pub(crate) fn receive_reports(&mut self, payload: &[u8]) {
         let Some((scope, reports)) = read_reports(payload) else { return };
         let now = self.now.steady;
         match scope {
--- a/crates/coordinator/src/serving.rs
+++ b/crates/coordinator/src/serving.rs
@@ -34,7 +34,7 @@
             }
             (CONTROL, Request::Join { seat }) => {
                 if let Ok(member) = seat.member() {
-                    self.joiners.insert(member.id, (member, self.now.steady));
+                    self.join_candidates.insert(member.id, (member, self.now.steady));
                 }
                 self.reply(origin, Answer::of(200));
             }
@@ -134,10 +134,10 @@
         let stays = |other: &&Store| other.member.name != store && !other.is_retiring();
         let (listed, living) =
             control.stores.values().filter(stays).fold((0, 0), |(listed, living), other| {
-                (listed + 1, living + usize::from(self.living.contains_key(&other.member.at)))
+                (listed + 1, living + usize::from(self.live_peers.contains_key(&other.member.at)))
             });
         // As many as a group must have for the loss of what is to be borne.
-        let least = self.info.fewest_members();
+        let least = self.info.min_members();
         if listed < least {
             return self.reply(origin, Answer::of(409));
         }
--- a/crates/coordinator/src/shard.rs
+++ b/crates/coordinator/src/shard.rs
@@ -8,14 +8,17 @@
 use rainlug_consensus::{Index, Member, Output, Replica, Restore, Rewrite, Settings};
 use rainlug_registry::gossip;
 
-use crate::capacity::{LogUse, ShardDisk};
+use crate::capacity::{LogUsage, ShardDisk};
 use crate::control::{Control, Outcome};
 use crate::frame::{Head, join};
 use crate::invariants::Invariant;
 pub(crate) use crate::machine::Machine;
 use crate::machine::{RestoreError, Restoring};
 use crate::quota::{Reports, Submitting};
-use crate::{Answer, CONTROL, Coordinator, Effect, Held, News, Origin, SPREADING};
+use crate::{
+    Answer, AwaitedUpdate, CONTROL, Coordinator, DISSEMINATION_TIMEOUT, Effect, Origin,
+    PendingAcknowledgement,
+};
 
 /// Versions of the roster that one term has, as a power of two: those of later leaders are newer.
 const ROSTERS_OF_A_TERM: u32 = 24;
@@ -61,7 +64,7 @@
     pub pause: Time,
     pub swept: Time,
     /// Since when it may be given up: nobody leads it, and its group is told to be without this disk.
-    pub seatless_since: Option<Time>,
+    pub lost_membership_since: Option<Time>,
     pub disk: ShardDisk,
     /// A snapshot of the machine is asked for.
     pub compact_wanted: bool,
@@ -95,7 +98,7 @@
             schedule: None,
             pause: 0,
             swept: now,
-            seatless_since: None,
+            lost_membership_since: None,
             disk: ShardDisk::of(records),
             compact_wanted: false,
             submitting: BTreeMap::new(),
@@ -141,14 +144,14 @@
     }
 
     /// Its log's part of the disk.
-    pub fn log_use(&self) -> LogUse {
+    pub fn log_use(&self) -> LogUsage {
         let length = self.disk.length;
         match &self.machine {
             Machine::BatchJobs(register) => {
-                LogUse { length, rewritten: register.size() as u64, totals: register.totals() }
+                LogUsage { length, rewritten: register.size() as u64, totals: register.totals() }
             }
             Machine::Control(control) => {
-                LogUse { length, rewritten: control.size() as u64, ..LogUse::default() }
+                LogUsage { length, rewritten: control.size() as u64, ..LogUsage::default() }
             }
         }
     }
@@ -280,7 +283,7 @@
         }
         if let Err(error) = shard.restore(step) {
             self.violated(Invariant::StateRestored, &format_args!("part {number}: {error}"));
-            self.give_up_disk(number);
+            self.discard_disk(number);
         }
     }
 
@@ -303,8 +306,8 @@
                     Ok(Outcome::Unknown) => Answer::of(404),
                     Err(_) => Answer::of(500),
                 };
-                let (until, news) = (now + SPREADING, News::Configuration(version));
-                self.held.push(Held { origin, answer, until, news });
+                let (until, update) = (now + DISSEMINATION_TIMEOUT, AwaitedUpdate::Configuration(version));
+                self.pending_acknowledgements.push(PendingAcknowledgement { origin, answer, until, update });
             }
             Machine::BatchJobs(_) => self.jobs_committed(number, command, mine),
         }
@@ -356,13 +359,13 @@
         let topology = settled.then(|| control.topology(core));
         let term = shard.replica.term();
         if version > 0 && self.gossip.get(gossip::CONFIGURATION).is_none_or(|(known, _)| known < version) {
-            self.enter_text(gossip::CONFIGURATION, version, text);
+            self.publish_text(gossip::CONFIGURATION, version, text);
         }
         // A leader of a later term has told of a newer one.
         let superseded = self.topology_version >= (term + 1) << ROSTERS_OF_A_TERM;
         if let Some(topology) = topology.filter(|r| *r != self.topology && !superseded) {
             let version = (term << ROSTERS_OF_A_TERM).max(self.topology_version) + 1;
-            self.enter_text(gossip::GROUPS, version, topology.encode());
+            self.publish_text(gossip::GROUPS, version, topology.encode());
         }
     }
 }
--- a/crates/coordinator/tests/capacity.rs
+++ b/crates/coordinator/tests/capacity.rs
@@ -5,8 +5,8 @@
 use rainlug::{SECOND, Time};
 use rainlug_batch::{Applied, Command, Item, Register, State, StoredText, Totals};
 use rainlug_coordinator::capacity::{
-    Bounds, DISK_PATIENCE, LogUse, Refusal, Refusals, ShardDisk, ShardUsage, Usage, job_bytes, lag_bytes,
-    shards_to_absorb,
+    CapacityLimits, CapacityUsage, DISK_STALL_TIMEOUT, LogUsage, RejectionCounts, RejectionReason, ShardDisk,
+    ShardUsage, job_bytes, lag_bytes, max_shards_after_losses,
 };
 
 const MEGABYTE: u64 = 1_000_000;
@@ -16,15 +16,15 @@
 /// Headers of a record in the file (20) and of an entry in the record (at most 32).
 const RECORD_HEADERS: u64 = 20 + 32;
 
-fn log(length: u64, rewritten: u64, open: u64) -> LogUse {
+fn log(length: u64, rewritten: u64, open: u64) -> LogUsage {
     // Outputs of 5 KB in the mean.
     let totals = Totals { open, listed: 1000, output_bytes: 1000 * 5000 };
-    LogUse { length, rewritten, totals }
+    LogUsage { length, rewritten, totals }
 }
 
 /// Bounds of which only the disk's matters.
-fn disk_of(disk_bytes: u64) -> Bounds {
-    Bounds {
+fn disk_of(disk_bytes: u64) -> CapacityLimits {
+    CapacityLimits {
         memory_bytes: 1 << 40,
         disk_bytes,
         link_bytes_per_second: 1 << 40,
@@ -33,10 +33,10 @@
     }
 }
 
-fn usage(logs: &[LogUse]) -> Usage {
-    Usage {
+fn usage(logs: &[LogUsage]) -> CapacityUsage {
+    CapacityUsage {
         shards: logs.iter().map(|log| ShardUsage { log: *log, is_led: true }).collect(),
-        ..Usage::default()
+        ..CapacityUsage::default()
     }
 }
 
@@ -45,52 +45,54 @@
     // Beside the file there is room for a copy of its state.
     let held = usage(&[log(USABLE / 2 - 1000, USABLE / 2, 0)]);
     assert_eq!(disk_of(CAPACITY).admit(&held, 1000), Ok(()));
-    assert_eq!(disk_of(CAPACITY).admit(&held, 1001), Err(Refusal::Disk));
+    assert_eq!(disk_of(CAPACITY).admit(&held, 1001), Err(RejectionReason::Disk));
 }
 
 #[test]
 fn outputs_of_accepted_items_have_their_room_first() {
-    let to_come = 10_000 * log(0, 0, 0).mean_output();
+    let future_output_bytes = 10_000 * log(0, 0, 0).mean_output_bytes();
     let held = usage(&[log(30 * MEGABYTE, 30 * MEGABYTE, 10_000)]);
-    let left = USABLE - 2 * 30 * MEGABYTE - to_come;
+    let left = USABLE - 2 * 30 * MEGABYTE - future_output_bytes;
     assert_eq!(disk_of(CAPACITY).admit(&held, left), Ok(()));
-    assert_eq!(disk_of(CAPACITY).admit(&held, left + 1), Err(Refusal::Disk));
+    assert_eq!(disk_of(CAPACITY).admit(&held, left + 1), Err(RejectionReason::Disk));
 }
 
 #[test]
 fn jobs_that_are_proposed_have_their_room_first() {
-    let held = Usage { proposed: 20 * MEGABYTE, ..usage(&[log(30 * MEGABYTE, 30 * MEGABYTE, 0)]) };
+    let held = CapacityUsage { proposed: 20 * MEGABYTE, ..usage(&[log(30 * MEGABYTE, 30 * MEGABYTE, 0)]) };
     assert_eq!(disk_of(CAPACITY).admit(&held, USABLE - 80 * MEGABYTE), Ok(()));
-    assert_eq!(disk_of(CAPACITY).admit(&held, USABLE - 80 * MEGABYTE + 1), Err(Refusal::Disk));
+    assert_eq!(disk_of(CAPACITY).admit(&held, USABLE - 80 * MEGABYTE + 1), Err(RejectionReason::Disk));
 }
 
 #[test]
 fn the_logs_of_a_disk_share_it() {
     let third = log(USABLE / 3, USABLE / 3, 0);
     assert_eq!(disk_of(CAPACITY).admit(&usage(&[third]), MEGABYTE), Ok(()));
-    assert_eq!(disk_of(CAPACITY).admit(&usage(&[third, third]), MEGABYTE), Err(Refusal::Disk));
+    assert_eq!(disk_of(CAPACITY).admit(&usage(&[third, third]), MEGABYTE), Err(RejectionReason::Disk));
 }
 
 #[test]
 fn parts_that_may_come_from_lost_stores_have_room_too() {
-    let held =
-        |shards_to_absorb| Usage { shards_to_absorb, ..usage(&[log(10 * MEGABYTE, 10 * MEGABYTE, 0)]) };
+    let held = |max_shards_after_losses| CapacityUsage {
+        max_shards_after_losses,
+        ..usage(&[log(10 * MEGABYTE, 10 * MEGABYTE, 0)])
+    };
     let left = |shards: u64| (USABLE - 10 * MEGABYTE) / shards - 10 * MEGABYTE;
     for shards in 1..=4 {
         assert_eq!(disk_of(CAPACITY).admit(&held(shards), left(shards)), Ok(()));
-        assert_eq!(disk_of(CAPACITY).admit(&held(shards), left(shards) + 1), Err(Refusal::Disk));
+        assert_eq!(disk_of(CAPACITY).admit(&held(shards), left(shards) + 1), Err(RejectionReason::Disk));
     }
 }
 
 #[test]
 fn seats_of_lost_stores_are_reckoned_where_they_go() {
     // Four parts of five members each: on nine stores, and on five of eight that are left.
-    assert_eq!(shards_to_absorb(4, 5, 9, 2), 3);
-    assert_eq!(shards_to_absorb(4, 5, 7, 2), 4);
-    assert_eq!(shards_to_absorb(4, 3, 4, 1), 4);
-    assert_eq!(shards_to_absorb(4, 5, 12, 2), 2);
+    assert_eq!(max_shards_after_losses(4, 5, 9, 2), 3);
+    assert_eq!(max_shards_after_losses(4, 5, 7, 2), 4);
+    assert_eq!(max_shards_after_losses(4, 3, 4, 1), 4);
+    assert_eq!(max_shards_after_losses(4, 5, 12, 2), 2);
     // Never more than there are, also where no store would be left.
-    assert_eq!(shards_to_absorb(4, 3, 1, 1), 4);
+    assert_eq!(max_shards_after_losses(4, 3, 1, 1), 4);
 }
 
 #[test]
@@ -99,7 +101,7 @@
     let held = usage(&[small, large]);
     let left = USABLE - 50 * MEGABYTE - 30 * MEGABYTE;
     assert_eq!(disk_of(CAPACITY).admit(&held, left), Ok(()));
-    assert_eq!(disk_of(CAPACITY).admit(&held, left + 1), Err(Refusal::Disk));
+    assert_eq!(disk_of(CAPACITY).admit(&held, left + 1), Err(RejectionReason::Disk));
 }
 
 #[test]
@@ -107,7 +109,7 @@
     let disk = disk_of(CAPACITY);
     // 75 MB are used and 60 free: the copy of 50 has room, and 25 come back.
     let long = usage(&[log(75 * MEGABYTE, 50 * MEGABYTE, 0)]);
-    assert_eq!(disk.admit(&long, 30 * MEGABYTE), Err(Refusal::Disk));
+    assert_eq!(disk.admit(&long, 30 * MEGABYTE), Err(RejectionReason::Disk));
     assert!(disk.is_rewrite_due(&long, &long.shards[0].log));
     let rewritten = usage(&[log(50 * MEGABYTE, 50 * MEGABYTE, 0)]);
     assert_eq!(disk.admit(&rewritten, 30 * MEGABYTE), Ok(()));
@@ -125,7 +127,7 @@
 
 #[test]
 fn a_rewrite_that_the_disk_would_put_off_is_not_asked_for() {
-    let bounds = Bounds { memory_bytes: 300 * MEGABYTE, ..disk_of(500 * MEGABYTE) };
+    let bounds = CapacityLimits { memory_bytes: 300 * MEGABYTE, ..disk_of(500 * MEGABYTE) };
     // Less than half of the disk is in use: only a rewrite that halves the file is made.
     let longer = log(120 * MEGABYTE, 61 * MEGABYTE, 0);
     assert!(!bounds.is_rewrite_due(&usage(&[longer]), &longer));
@@ -147,10 +149,10 @@
 }
 
 /// Bounds of which only the memory's matters, with room for the state of one part.
-fn memory_for(state: u64) -> Bounds {
+fn memory_for(state: u64) -> CapacityLimits {
     let tails = lag_bytes(500_000_000) as u64;
     let memory_bytes = 40 * MEGABYTE + tails + state / 4 * 5;
-    Bounds { memory_bytes, ..disk_of(500 * MEGABYTE) }
+    CapacityLimits { memory_bytes, ..disk_of(500 * MEGABYTE) }
 }
 
 #[test]
@@ -159,11 +161,11 @@
     assert_eq!(bounds.memory_limit(1), 100 * MEGABYTE);
     let held = usage(&[log(10 * MEGABYTE, 90 * MEGABYTE, 0)]);
     assert_eq!(bounds.admit(&held, 10 * MEGABYTE), Ok(()));
-    assert_eq!(bounds.admit(&held, 10 * MEGABYTE + 1), Err(Refusal::Memory));
-    let to_come = usage(&[log(10 * MEGABYTE, 10 * MEGABYTE, 10_000)]);
-    let left = 90 * MEGABYTE - 10_000 * log(0, 0, 0).mean_output();
-    assert_eq!(bounds.admit(&to_come, left), Ok(()));
-    assert_eq!(bounds.admit(&to_come, left + 1), Err(Refusal::Memory));
+    assert_eq!(bounds.admit(&held, 10 * MEGABYTE + 1), Err(RejectionReason::Memory));
+    let future_output_bytes = usage(&[log(10 * MEGABYTE, 10 * MEGABYTE, 10_000)]);
+    let left = 90 * MEGABYTE - 10_000 * log(0, 0, 0).mean_output_bytes();
+    assert_eq!(bounds.admit(&future_output_bytes, left), Ok(()));
+    assert_eq!(bounds.admit(&future_output_bytes, left + 1), Err(RejectionReason::Memory));
 }
 
 #[test]
@@ -171,13 +173,13 @@
     let bounds = memory_for(100 * MEGABYTE);
     let held = usage(&[log(90 * MEGABYTE, MEGABYTE, 0)]);
     assert_eq!(bounds.admit(&held, 10 * MEGABYTE), Ok(()));
-    assert_eq!(bounds.admit(&held, 10 * MEGABYTE + 1), Err(Refusal::Memory));
+    assert_eq!(bounds.admit(&held, 10 * MEGABYTE + 1), Err(RejectionReason::Memory));
     assert!(bounds.is_rewrite_due(&held, &held.shards[0].log));
 }
 
 #[test]
 fn each_more_part_leaves_less_memory_to_the_state() {
-    let bounds = Bounds { memory_bytes: 300 * MEGABYTE, ..disk_of(CAPACITY) };
+    let bounds = CapacityLimits { memory_bytes: 300 * MEGABYTE, ..disk_of(CAPACITY) };
     let of = |shards| bounds.memory_limit(shards);
     assert!(of(1) > of(2) && of(2) > of(4));
     assert_eq!((of(1) - of(2)) / 1000, lag_bytes(CAPACITY as usize) as u64 * 4 / 5 / 1000);
@@ -185,22 +187,22 @@
 
 #[test]
 fn little_memory_leaves_a_part_of_it_and_no_sum_overflows() {
-    let bounds = Bounds { memory_bytes: 16 * MEGABYTE, ..disk_of(CAPACITY) };
+    let bounds = CapacityLimits { memory_bytes: 16 * MEGABYTE, ..disk_of(CAPACITY) };
     assert_eq!(bounds.memory_limit(4), MEGABYTE / 2);
     let huge = usage(&[log(u64::MAX, u64::MAX, u64::MAX), log(u64::MAX, u64::MAX, u64::MAX)]);
-    assert_eq!(bounds.admit(&huge, u64::MAX), Err(Refusal::Memory));
+    assert_eq!(bounds.admit(&huge, u64::MAX), Err(RejectionReason::Memory));
     assert_eq!(disk_of(0).disk_limit(), 0);
-    let no_time = Bounds { sync_time: 0, ..disk_of(CAPACITY) };
-    assert_eq!(no_time.refill_limit(), 0);
-    let little_time = Bounds { sync_time: SECOND, ..slow_link(1) };
-    assert_eq!(little_time.refill_limit(), 7_500_000 * 3 / 4 / 4);
-    assert!(little_time.refill_time(&usage(&[log(0, 7_500_000 * 3 / 4 / 4, 0)])) <= SECOND);
-    assert!(no_time.refill_time(&huge) > 1000 * SECOND);
+    let no_time = CapacityLimits { sync_time: 0, ..disk_of(CAPACITY) };
+    assert_eq!(no_time.recovery_limit(), 0);
+    let little_time = CapacityLimits { sync_time: SECOND, ..slow_link(1) };
+    assert_eq!(little_time.recovery_limit(), 7_500_000 * 3 / 4 / 4);
+    assert!(little_time.recovery_time(&usage(&[log(0, 7_500_000 * 3 / 4 / 4, 0)])) <= SECOND);
+    assert!(no_time.recovery_time(&huge) > 1000 * SECOND);
 }
 
 /// Bounds of which only the refill's matters: 60 Mbit/s for 12 s.
-fn slow_link(copies: u64) -> Bounds {
-    Bounds { link_bytes_per_second: 7_500_000, sync_time: 12 * SECOND, copies, ..disk_of(1 << 40) }
+fn slow_link(copies: u64) -> CapacityLimits {
+    CapacityLimits { link_bytes_per_second: 7_500_000, sync_time: 12 * SECOND, copies, ..disk_of(1 << 40) }
 }
 
 /// Of 60 Mbit/s, three quarters, for 10.5 s.
@@ -209,12 +211,12 @@
 #[test]
 fn an_empty_disk_takes_all_parts_in_time() {
     let bounds = slow_link(1);
-    assert_eq!(bounds.refill_limit(), REFILL);
+    assert_eq!(bounds.recovery_limit(), REFILL);
     let held = usage(&[log(0, REFILL / 2, 0), log(0, REFILL / 2 - 1000, 0)]);
     assert_eq!(bounds.admit(&held, 1000), Ok(()));
-    assert_eq!(bounds.admit(&held, 1001), Err(Refusal::Refill));
-    assert!(bounds.refill_time(&held) <= bounds.sync_time);
-    assert!(bounds.refill_time(&usage(&[log(0, REFILL + 10, 0)])) > bounds.sync_time);
+    assert_eq!(bounds.admit(&held, 1001), Err(RejectionReason::Refill));
+    assert!(bounds.recovery_time(&held) <= bounds.sync_time);
+    assert!(bounds.recovery_time(&usage(&[log(0, REFILL + 10, 0)])) > bounds.sync_time);
 }
 
 #[test]
@@ -222,23 +224,23 @@
     let bounds = slow_link(2);
     let led = usage(&[log(0, REFILL / 2 - 1000, 0)]);
     assert_eq!(bounds.admit(&led, 1000), Ok(()));
-    assert_eq!(bounds.admit(&led, 1001), Err(Refusal::Refill));
+    assert_eq!(bounds.admit(&led, 1001), Err(RejectionReason::Refill));
     // What another store leads is sent from there, and counts once.
     let mut both = usage(&[log(0, REFILL / 4, 0), log(0, REFILL / 2, 0)]);
     both.shards[1].is_led = false;
     assert_eq!(bounds.admit(&both, REFILL / 4), Ok(()));
-    assert_eq!(bounds.admit(&both, REFILL / 4 + 1000), Err(Refusal::Refill));
+    assert_eq!(bounds.admit(&both, REFILL / 4 + 1000), Err(RejectionReason::Refill));
 }
 
 #[test]
 fn refusals_are_counted_by_their_reason() {
-    let mut refusals = Refusals::default();
-    refusals.count(Refusal::Disk);
-    refusals.count(Refusal::Refill);
-    refusals.count(Refusal::Refill);
+    let mut refusals = RejectionCounts::default();
+    refusals.count(RejectionReason::Disk);
+    refusals.count(RejectionReason::Refill);
+    refusals.count(RejectionReason::Refill);
     let counts: Vec<u64> = refusals.counts().map(|(_, count)| count).collect();
     assert_eq!(counts, [0, 0, 0, 1, 2]);
-    assert!(refusals.counts().map(|(refusal, _)| refusal).eq(Refusal::ALL));
+    assert!(refusals.counts().map(|(refusal, _)| refusal).eq(RejectionReason::ALL));
 }
 
 #[test]
@@ -247,7 +249,7 @@
     let (job, item) = ("f28f2dda36c74a36".to_owned(), "f28f2dda36c74a36-000123".to_owned());
     let command = Command::List { job, item, state: State::Complete, text }.encode();
     let taken = command.len() as u64 + RECORD_HEADERS;
-    let reckoned = log(0, 0, 0).mean_output();
+    let reckoned = log(0, 0, 0).mean_output_bytes();
     assert!((taken..taken + 100).contains(&reckoned), "{taken} bytes, {reckoned} reckoned");
 }
 
@@ -259,8 +261,8 @@
 #[test]
 fn few_outputs_tell_nothing_of_their_length() {
     let few = Totals { open: 0, listed: 31, output_bytes: 31 * 100_000 };
-    let guess = LogUse { totals: few, ..LogUse::default() }.mean_output();
-    assert_eq!(guess, LogUse::default().mean_output());
+    let guess = LogUsage { totals: few, ..LogUsage::default() }.mean_output_bytes();
+    assert_eq!(guess, LogUsage::default().mean_output_bytes());
     let items: Vec<Item> = (0..10).map(|n| item(n.to_string(), 10, 0)).collect();
     assert!(job_bytes(100, &items, guess) > 10 * 4096);
 }
@@ -270,12 +272,12 @@
     let mut disk = ShardDisk::default();
     assert!(!disk.is_stalled(100 * SECOND));
     disk.saving(0, 1);
-    disk.saving(DISK_PATIENCE, 2);
-    assert!(!disk.is_stalled(DISK_PATIENCE));
-    assert!(disk.is_stalled(DISK_PATIENCE + 1));
+    disk.saving(DISK_STALL_TIMEOUT, 2);
+    assert!(!disk.is_stalled(DISK_STALL_TIMEOUT));
+    assert!(disk.is_stalled(DISK_STALL_TIMEOUT + 1));
     disk.saved(1, 500);
-    assert!(!disk.is_stalled(DISK_PATIENCE + 1));
-    assert!(disk.is_stalled(2 * DISK_PATIENCE + 1));
+    assert!(!disk.is_stalled(DISK_STALL_TIMEOUT + 1));
+    assert!(disk.is_stalled(2 * DISK_STALL_TIMEOUT + 1));
     disk.saved(2, 900);
     assert!(!disk.is_stalled(100 * SECOND));
     assert_eq!(disk.length, 900);
@@ -290,7 +292,7 @@
 
 /// A store that admits batch jobs by its bounds.
 struct Store {
-    bounds: Bounds,
+    bounds: CapacityLimits,
     shards: Vec<Shard>,
     accepted: usize,
     refused: usize,
@@ -324,14 +326,14 @@
 }
 
 impl Store {
-    fn new(bounds: Bounds, shards: usize, output: usize) -> Self {
+    fn new(bounds: CapacityLimits, shards: usize, output: usize) -> Self {
         let shard = || Shard { register: Register::default(), length: 0, jobs: Vec::new() };
         let shards = (0..shards).map(|_| shard()).collect();
         Store { bounds, shards, accepted: 0, refused: 0, now: 0, output, rewrites: true }
     }
 
-    fn usage(&self) -> Usage {
-        let log = |shard: &Shard| LogUse {
+    fn usage(&self) -> CapacityUsage {
+        let log = |shard: &Shard| LogUsage {
             length: shard.length,
             rewritten: shard.register.size() as u64,
             totals: shard.register.totals(),
@@ -378,7 +380,7 @@
         let text =
             |item: &Item| item.id.len() + item.path.len() + item.body.len() + 7 * item.headers.len() + 50;
         let request: usize = items.iter().map(text).sum();
-        let mean = self.usage().shards[shard].log.mean_output();
+        let mean = self.usage().shards[shard].log.mean_output_bytes();
         if self.bounds.admit(&self.usage(), job_bytes(request, &items, mean)).is_err() {
             self.refused += 1;
             return;
@@ -440,7 +442,10 @@
         assert!(state <= self.bounds.memory_limit(self.shards.len()), "{state} bytes of state");
         assert!(files <= self.bounds.memory_limit(self.shards.len()) + counts, "{files} bytes for a restart");
         assert!(files <= self.bounds.disk_limit() + counts, "{files} bytes on the disk");
-        assert!(sent * self.bounds.copies <= self.bounds.refill_limit() + 2 * counts, "{sent} bytes to copy");
+        assert!(
+            sent * self.bounds.copies <= self.bounds.recovery_limit() + 2 * counts,
+            "{sent} bytes to copy"
+        );
     }
 
     /// All is listed and forgotten, and the rewrites that are due are made.
@@ -463,18 +468,18 @@
         disk_bytes in 1_200_000..4_000_000_u64,
         refill in 1_200_000..8_000_000_u64,
         copies in 1..3_u64,
-    ) -> Bounds {
+    ) -> CapacityLimits {
         let memory_bytes = 40 * MEGABYTE + 2 * lag_bytes(0) as u64 + state / 4 * 5;
         // In 5 s, of which 1.5 s pass before the copy, at three quarters of the link.
         let link_bytes_per_second = refill * 4 / 3 * 2 / 7;
-        Bounds { memory_bytes, disk_bytes, link_bytes_per_second, sync_time: 5 * SECOND, copies }
+        CapacityLimits { memory_bytes, disk_bytes, link_bytes_per_second, sync_time: 5 * SECOND, copies }
     }
 }
 
-fn small(bounds: Bounds, shards: usize) -> Bounds {
+fn small(bounds: CapacityLimits, shards: usize) -> CapacityLimits {
     // The memory's share for each part's tail is the same, however many there are.
     let tails = lag_bytes(0) as u64 * shards as u64;
-    Bounds { memory_bytes: bounds.memory_bytes - 2 * lag_bytes(0) as u64 + tails, ..bounds }
+    CapacityLimits { memory_bytes: bounds.memory_bytes - 2 * lag_bytes(0) as u64 + tails, ..bounds }
 }
 
 proptest! {
@@ -524,7 +529,7 @@
 }
 
 /// A store that takes all it can get until a bound is passed, which the checks must find.
-fn overfill(bounds: Bounds, narrow: impl Fn(Bounds) -> Bounds) {
+fn overfill(bounds: CapacityLimits, narrow: impl Fn(CapacityLimits) -> CapacityLimits) {
     let mut store = Store::new(bounds, 1, 1000);
     for _ in 0..200 {
         store.step(&Step::Submit { shard: 0, items: 20, body: 500, headers: 3, id: 8 });
@@ -537,17 +542,17 @@
 #[test]
 #[should_panic(expected = "bytes of state")]
 fn the_checks_find_too_much_memory() {
-    overfill(disk_of(CAPACITY), |bounds| Bounds { memory_bytes: 10 * MEGABYTE, ..bounds });
+    overfill(disk_of(CAPACITY), |bounds| CapacityLimits { memory_bytes: 10 * MEGABYTE, ..bounds });
 }
 
 #[test]
 #[should_panic(expected = "bytes on the disk")]
 fn the_checks_find_too_long_files() {
-    overfill(disk_of(CAPACITY), |bounds| Bounds { disk_bytes: 2 * MEGABYTE, ..bounds });
+    overfill(disk_of(CAPACITY), |bounds| CapacityLimits { disk_bytes: 2 * MEGABYTE, ..bounds });
 }
 
 #[test]
 #[should_panic(expected = "bytes to copy")]
 fn the_checks_find_too_long_copies() {
-    overfill(disk_of(CAPACITY), |bounds| Bounds { link_bytes_per_second: MEGABYTE, ..bounds });
+    overfill(disk_of(CAPACITY), |bounds| CapacityLimits { link_bytes_per_second: MEGABYTE, ..bounds });
 }
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use rainlug::{SECOND, Time};
 use rainlug_batch::RunEnd;
 use rainlug_coordinator::{
-    Answer, Call, Coordinator, Effect, KEEP_SLACK, NodeInfo, Now, founding_id, shard_of_job,
+    Answer, Call, Coordinator, Effect, KEEP_SLACK, NodeInfo, Now, ProcessRole, founding_id, shard_of_job,
 };
 use rainlug_registry::{Worker, WorkerReport};
 use rand::{Rng, SeedableRng};
@@ -217,21 +217,21 @@
             logs = disk.synced.iter().map(|(shard, records)| (*shard, records.clone())).collect();
         }
         let info = NodeInfo {
-            node: machine.name.clone(),
+            node_name: machine.name.clone(),
             zone: machine.zone.clone(),
-            at: machine.at,
-            control: machine.gateway.then(|| SocketAddr::new(machine.at.ip(), 8000)),
-            gateway: machine.gateway,
+            peer_address: machine.at,
+            control_address: machine.gateway.then(|| SocketAddr::new(machine.at.ip(), 8000)),
+            role: if machine.gateway { ProcessRole::Gateway } else { ProcessRole::Store },
             disk: machine.disk.as_ref().map(|d| d.id),
             first_boot,
             seeds,
-            tolerate: self.tolerate,
-            heartbeat: 1200 * MS,
+            tolerated_failures: self.tolerate,
+            heartbeat_interval: 1200 * MS,
             disk_bytes: self.disk_bytes,
             memory_bytes: self.memory_bytes,
             link_bytes_per_second: self.link_bytes_per_second,
             sync_time: self.sync_time,
-            relays: true,
+            relays_enabled: true,
             job_retention: self.status_time + KEEP_SLACK,
             seed,
         };
--- a/crates/coordinator/tests/operators/stories.rs
+++ b/crates/coordinator/tests/operators/stories.rs
@@ -38,7 +38,7 @@
 }
 
 /// How many groups of batch jobs count on a machine, as their leaders know.
-fn seats_of(fleet: &Fleet, store: usize) -> usize {
+fn replica_count(fleet: &Fleet, store: usize) -> usize {
     let holds = |shard: u16| {
         let leader = fleet.leader(shard).expect("a leader");
         let coordinator = fleet.machines[leader].coordinator.as_ref().expect("it runs");
@@ -50,7 +50,7 @@
 fn ready(campaign: &Campaign, at: usize) -> bool {
     let steady = campaign.fleet.now;
     let coordinator = campaign.fleet.machines[at].coordinator.as_ref().expect("it runs");
-    coordinator.ready(Now { steady, wall: steady })
+    coordinator.is_ready(Now { steady, wall: steady })
 }
 
 fn retire(store: &str) -> Call {
@@ -299,7 +299,7 @@
             campaign.fleet.pass(0.05);
         }
         assert_eq!(
-            seats_of(&campaign.fleet, FIRST_STORE),
+            replica_count(&campaign.fleet, FIRST_STORE),
             0,
             "seed {seed}: complete means that none counts on it"
         );
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -12,7 +12,9 @@
 use quick_error::quick_error;
 use rainlug::Time;
 use rainlug_batch::{Next, RunEnd};
-use rainlug_coordinator::{Answer, Call, Coordinator, Effect, KEEP_SLACK, NodeInfo, Now, founding_id};
+use rainlug_coordinator::{
+    Answer, Call, Coordinator, Effect, KEEP_SLACK, NodeInfo, Now, ProcessRole, founding_id,
+};
 use rainlug_fleet::envelope::{Envelope, MOST};
 use rainlug_gateway::{Gateway, Item, RanEnd, Reply, Replying};
 use rainlug_placement::Mechanisms;
@@ -133,21 +135,21 @@
         };
         let control_at = settings.listen.control;
         let told = NodeInfo {
-            node: settings.node.clone(),
+            node_name: settings.node.clone(),
             zone: settings.zone.clone(),
-            at: peer,
-            control: control_at,
-            gateway: role == Role::Gateway,
+            peer_address: peer,
+            control_address: control_at,
+            role: if role == Role::Gateway { ProcessRole::Gateway } else { ProcessRole::Store },
             disk: disk.as_ref().map(Disk::id),
             first_boot: settings.first_boot,
             seeds,
-            tolerate: settings.tolerate.machines as usize,
-            heartbeat: settings.beat_ms as Time * 1000,
+            tolerated_failures: settings.tolerate.machines as usize,
+            heartbeat_interval: settings.beat_ms as Time * 1000,
             disk_bytes: disk_bytes as usize,
             memory_bytes: (settings.limits.memory_mb * 1e6) as usize,
             link_bytes_per_second: settings.limits.link_bytes_per_second(),
             sync_time: settings.bounds.sync_time(),
-            relays: mechanisms.contains(Mechanisms::RELAYS),
+            relays_enabled: mechanisms.contains(Mechanisms::RELAYS),
             job_retention: (settings.bounds.status_s * 1e6) as Time + KEEP_SLACK,
             seed: draw(),
         };
@@ -221,7 +223,7 @@
         }
         if let Some(at) = settings.listen.ready {
             let coordinator = node.clone();
-            let ready = Rc::new(move || coordinator.coordinator.borrow().ready(coordinator.clock.now()));
+            let ready = Rc::new(move || coordinator.coordinator.borrow().is_ready(coordinator.clock.now()));
             spawn_local(node.gateway.clone().readiness(listen(at).await?, ready));
         }
         node.with("start", |_, _| ());
