--- a/crates/coordinator/src/dissemination.rs
+++ b/crates/coordinator/src/dissemination.rs
@@ -9,7 +9,8 @@
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
 use rainlug_fleet::Process;
-use rainlug_registry::{Configuration, Phase, Worker, gossip};
+use rainlug_registry::gossip::{self, Coverage};
+use rainlug_registry::{Configuration, Phase, Worker};
 
 use crate::frame::{Head, join};
 use crate::topology::Topology;
@@ -42,12 +43,12 @@
 #[derive(Default)]
 pub(crate) struct Updates {
     workers: Vec<Worker>,
-    texts: Vec<TextUpdate>,
+    documents: Vec<DocumentUpdate>,
 }
 
-/// A newer version of one of the texts that the gossip carries.
-struct TextUpdate {
-    /// [`gossip::CONFIGURATION`] or [`gossip::GROUPS`].
+/// A newer version of one of the documents that the gossip carries.
+struct DocumentUpdate {
+    /// [`gossip::CONFIGURATION`] or [`gossip::TOPOLOGY`].
     kind: u8,
     version: u64,
     text: Bytes,
@@ -87,12 +88,12 @@
         self.effects.push(Effect::Frame { to, head: join(&Head::Gossip, &[]), tail: bytes });
     }
 
-    fn worker(&mut self, worker: &Worker) {
+    fn worker_changed(&mut self, worker: &Worker) {
         self.updates.workers.push(worker.clone());
     }
 
-    fn text(&mut self, kind: u8, version: u64, text: &Bytes) {
-        self.updates.texts.push(TextUpdate { kind, version, text: text.clone() });
+    fn document_changed(&mut self, kind: u8, version: u64, text: &Bytes) {
+        self.updates.documents.push(DocumentUpdate { kind, version, text: text.clone() });
     }
 }
 
@@ -105,17 +106,17 @@
             }
             self.effects.push(Effect::Worker(worker));
         }
-        for update in updates.texts {
+        for update in updates.documents {
             match update.kind {
                 gossip::CONFIGURATION => self.apply_configuration(update.version, update.text),
-                gossip::GROUPS => self.apply_topology(update.version, &update.text),
+                gossip::TOPOLOGY => self.apply_topology(update.version, &update.text),
                 _ => {}
             }
         }
     }
 
     fn apply_configuration(&mut self, version: u64, text: Bytes) {
-        match Configuration::read(&text) {
+        match Configuration::parse(&text) {
             Ok(configuration) => {
                 self.configuration = Some(configuration);
                 self.effects.push(Effect::Configuration { version, text });
@@ -138,16 +139,16 @@
     /// Publishes a worker's state through the gossip; whether it is newer than what stood there.
     pub(crate) fn publish_worker(&mut self, worker: Worker) -> bool {
         let mut outbox = Outbox::new(&mut self.effects);
-        let is_newer = self.gossip.worker(self.now.steady, worker, &mut outbox);
+        let is_newer = self.gossip.publish_worker(self.now.steady, worker, &mut outbox);
         let updates = outbox.into_updates();
         self.apply_updates(updates);
         is_newer
     }
 
-    /// Publishes a version of one of the gossip's texts.
-    pub(crate) fn publish_text(&mut self, kind: u8, version: u64, text: Bytes) {
+    /// Publishes a version of one of the gossip's documents.
+    pub(crate) fn publish_document(&mut self, kind: u8, version: u64, text: Bytes) {
         let mut outbox = Outbox::new(&mut self.effects);
-        self.gossip.text(self.now.steady, kind, version, text, &mut outbox);
+        self.gossip.publish_document(self.now.steady, kind, version, text, &mut outbox);
         let updates = outbox.into_updates();
         self.apply_updates(updates);
     }
@@ -180,11 +181,11 @@
     fn send_acknowledgements(&mut self) {
         let now = self.now.steady;
         for pending in std::mem::take(&mut self.pending_acknowledgements) {
-            let ((acknowledged, peers), is_in_core) = match &pending.update {
+            let (Coverage { acknowledged, peers }, is_in_core) = match &pending.update {
                 AwaitedUpdate::Configuration(version) => {
-                    (self.gossip.spread(gossip::CONFIGURATION, *version), true)
+                    (self.gossip.document_coverage(gossip::CONFIGURATION, *version), true)
                 }
-                AwaitedUpdate::Worker(id) => (self.gossip.worker_spread(id), self.is_known_to_core(id)),
+                AwaitedUpdate::Worker(id) => (self.gossip.worker_coverage(id), self.is_known_to_core(id)),
             };
             if acknowledged >= peers && is_in_core {
                 self.reply(pending.origin, pending.answer);
--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -65,7 +65,7 @@
         self.reports.members(&self.info.zone, self.info.peer_address, zones);
         self.registrars.borrow_mut().clear();
         let peers: Vec<SocketAddr> = self.live_peers.keys().copied().collect();
-        self.gossip.peers(now, &peers);
+        self.gossip.set_peers(now, &peers);
         if gateways != gateways_before || self.caught_up_at.is_none() {
             self.effects.push(Effect::Others(gateways));
         }
--- a/crates/coordinator/src/worker_calls.rs
+++ b/crates/coordinator/src/worker_calls.rs
@@ -50,7 +50,7 @@
     /// Answers once the worker's end is known to all: whoever receives the answer may count on that. A repeated call waits as the
     /// first one did, until that has spread; what came from other processes is known to them already.
     fn acknowledge_when_disseminated(&mut self, ticket: u64, answer: Answer, worker: String) {
-        if !self.gossip.is_worker_spreading(&worker) && self.is_known_to_core(&worker) {
+        if !self.gossip.is_worker_propagating(&worker) && self.is_known_to_core(&worker) {
             return self.answer(ticket, answer);
         }
         self.pending_acknowledgements.push(PendingAcknowledgement {
