--- a/crates/coordinator/tests/spoken.rs
+++ b/crates/coordinator/tests/spoken.rs
@@ -60,7 +60,7 @@
         fleet.pass(1.0);
         fleet.ask(1, Call::Body { job: job.clone(), item: format!("{job}-0") }, 4.0);
         fleet.ask(CALLER, Call::Read { job: job.clone(), since: 0, wait: 0 }, 4.0);
-        fleet.ask(2, Call::End { job: job }, 4.0);
+        fleet.ask(2, Call::End { job }, 4.0);
     }
     fleet.heal();
     fleet.ask(1, Call::Retire { store: "storage-9".to_owned() }, 2.0);
