--- a/crates/coordinator/src/maintenance.rs
+++ b/crates/coordinator/src/maintenance.rs
@@ -28,7 +28,7 @@
             self.fence_absent_disks();
         }
         for number in 1..=BATCH_SHARDS {
-            if self.shards.get(&number).is_some_and(|p| p.replica.is_elected()) {
+            if self.shards.get(&number).is_some_and(|p| p.replica.is_leader()) {
                 self.place_store_members(number);
             }
         }
--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -140,7 +140,7 @@
     /// the only one left. A process that still leads the configuration's shard then is a quorum by itself, and not isolated.
     pub(crate) fn is_isolated(&self, now: Now) -> bool {
         let hears_nobody = self.has_known_gateways && now.steady - self.last_contact > ISOLATION_TIMEOUT;
-        hears_nobody && !self.shards.get(&CONTROL).is_some_and(|shard| shard.replica.leads())
+        hears_nobody && !self.shards.get(&CONTROL).is_some_and(|shard| shard.replica.is_serving_leader())
     }
 
     /// Whether it may be given clients: it has a configuration, has met others or is alone, and is not isolated (among live
--- a/crates/coordinator/src/replica_placement.rs
+++ b/crates/coordinator/src/replica_placement.rs
@@ -100,7 +100,7 @@
         self.join_candidates.retain(|_, (_, heard)| now - *heard < 3 * ANNOUNCE);
         let target = self.info.target_members();
         let Some(shard) = self.shards.get(&CONTROL) else { return };
-        let (members, settled) = shard.replica.members();
+        let (members, settled) = (shard.replica.members(), shard.replica.is_replica_set_committed());
         if !settled {
             return;
         }
@@ -115,14 +115,15 @@
         let without =
             |out: &Member| -> Vec<Member> { members.iter().filter(|m| m.id != out.id).cloned().collect() };
         // The same machine with another disk; then who is gone; then free seats.
-        let same =
-            fresh.iter().find_map(|f| members.iter().find(|m| m.at == f.at).map(|m| (m.clone(), f.clone())));
-        let gone = members.iter().find(|m| self.is_absent(&m.at)).cloned();
+        let same = fresh
+            .iter()
+            .find_map(|f| members.iter().find(|m| m.address == f.address).map(|m| (m.clone(), f.clone())));
+        let gone = members.iter().find(|m| self.is_absent(&m.address)).cloned();
         let next = if let Some((old, new)) = same {
             Some([without(&old), vec![new]].concat())
         } else if let Some(old) = gone {
             let rest = without(&old);
-            self.best_candidate(CONTROL, &rest, fresh.iter().filter(|f| !self.is_absent(&f.at)))
+            self.best_candidate(CONTROL, &rest, fresh.iter().filter(|f| !self.is_absent(&f.address)))
                 .map(|new| [rest, vec![new]].concat())
         } else if members.len() < target {
             self.best_candidate(CONTROL, &members, fresh.iter())
@@ -137,8 +138,8 @@
 
     fn change_replica_set(&mut self, number: u16, next: Vec<Member>) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        if shard.replica.change(self.now.steady, next.clone()).is_ok() {
-            let names: Vec<String> = next.iter().map(|m| format!("{}@{}", m.name, m.at)).collect();
+        if shard.replica.change_replica_set(self.now.steady, next.clone()).is_ok() {
+            let names: Vec<String> = next.iter().map(|m| format!("{}@{}", m.name, m.address)).collect();
             self.effects.push(Effect::Log("seats", format!("part {number}: {}", names.join(" "))));
             self.drain(number);
         }
@@ -194,7 +195,7 @@
         let Some(control) = self.shards.get(&CONTROL).and_then(|p| p.control()) else { return };
         let mut fences: Vec<MemberId> = Vec::new();
         for group in control.groups.values() {
-            let absent = |m: &&Member| self.absence(&m.at) > FENCE_ABSENT;
+            let absent = |m: &&Member| self.absence(&m.address) > FENCE_ABSENT;
             let gone: Vec<&Member> = group.members.iter().filter(absent).collect();
             let half = group.members.len() / 2;
             let decides = group.members.len() - gone.len() > half;
@@ -202,7 +203,7 @@
             let could_have_the_seat = control.stores.values().any(|s| {
                 !s.is_retiring()
                     && !control.is_fenced(s.member.id)
-                    && self.live_peers.contains_key(&s.member.at)
+                    && self.live_peers.contains_key(&s.member.address)
                     && group.members.iter().all(|m| m.id != s.member.id)
             });
             if !decides && is_tied && could_have_the_seat {
@@ -276,14 +277,14 @@
             !retiring
                 && !self.topology.is_fenced(store.id)
                 && members.iter().all(|m| m.id != store.id)
-                && self.live_peers.contains_key(&store.at)
+                && self.live_peers.contains_key(&store.address)
         };
         let may_leave = |m: &Member| is_retiring(m) || self.topology.is_fenced(m.id);
         let spare: Vec<&Member> = listed.iter().filter(could_join).map(|(store, _)| store).collect();
         // First those that hold nothing any more, then those that are to go, then those that may come back.
         let lost = members.iter().find(|m| self.topology.is_fenced(m.id) || !is_listed(m));
         let leaving = members.iter().find(|m| is_retiring(m));
-        let gone = members.iter().find(|m| self.is_absent(&m.at));
+        let gone = members.iter().find(|m| self.is_absent(&m.address));
         match lost.or(leaving).or(gone) {
             Some(out) => {
                 let rest: Vec<Member> = members.iter().filter(|m| m.id != out.id).cloned().collect();
@@ -304,7 +305,7 @@
 
     pub(crate) fn place_store_members(&mut self, number: u16) {
         let Some(shard) = self.shards.get(&number) else { return };
-        let (members, settled) = shard.replica.members();
+        let (members, settled) = (shard.replica.members(), shard.replica.is_replica_set_committed());
         if !settled
             || self.gossip.document(gossip::TOPOLOGY).is_none()
             || !matches!(shard.machine, Machine::BatchJobs(_))
@@ -320,15 +321,16 @@
 
     /// Tells the configuration's part of the group as it stands, once it has been handed over and all that live hold nearly all.
     fn publish_replica_set(&mut self, number: u16, group: &[Member]) {
-        let Some(shard) = self.shards.get(&number).filter(|p| p.led && p.replica.is_handed_over()) else {
+        let Some(shard) = self.shards.get(&number).filter(|p| p.led && p.replica.is_replica_set_durable())
+        else {
             return;
         };
-        let (term, index) = (shard.replica.term(), shard.replica.group_index());
-        let behind = shard.replica.behind();
+        let (term, index) = (shard.replica.term(), shard.replica.replica_set_index());
+        let behind = shard.replica.replication_lag();
         let holds_all = |m: &Member| {
-            m.at == self.info.peer_address
-                || behind.iter().any(|(id, lacks)| *id == m.id && *lacks < NEARLY_ALL)
-                || self.is_absent(&m.at)
+            m.address == self.info.peer_address
+                || behind.iter().any(|lag| lag.member == m.id && lag.entries < NEARLY_ALL)
+                || self.is_absent(&m.address)
         };
         let retirements = self.topology.retirements;
         let is_known = self.topology.replica_set(number).is_some_and(|told| {
