--- a/crates/batch/tests/format.rs
+++ b/crates/batch/tests/format.rs
@@ -8,24 +8,27 @@
 use bytes::Bytes;
 use common::{DUE, ROUTE, abandon, chunks, end, item, list, read, restore, submit, submit_within};
 use rainlug::SECOND;
-use rainlug_batch::{Command, Item, OpenJob, QuotaLedger, Register, ReportNumber, State, StoredText};
+use rainlug_batch::{
+    Command, Item, ItemOutcome, JobTable, JobUsage, QuotaLedger, StoredText, UsageReportNumber,
+};
 
 /// An output as it is stored where it is long enough to be compressed.
 const LONG_OUTPUT: &str = "the same words again and again, ";
 
 fn reserve(job: &str, shard: u16, tokens: u64) -> Command {
     let (route, job) = (ROUTE.to_owned(), job.to_owned());
-    Command::Reserve { route, job, shard, tokens, most: 1000, at: 3 * SECOND }
+    Command::Reserve { route, job, shard, tokens, max_waiting_tokens: 1000, timestamp: 3 * SECOND }
 }
 
 fn settle(shard: u16, open: &[(&str, u64)]) -> Command {
-    let open = open.iter().map(|(job, tokens)| OpenJob { job: (*job).to_owned(), tokens: *tokens }).collect();
-    let number = ReportNumber { term: 7, sequence: 9 };
-    Command::Settle { route: ROUTE.to_owned(), shard, number, at: 4 * SECOND, open }
+    let usage =
+        open.iter().map(|(job, tokens)| JobUsage { job: (*job).to_owned(), tokens: *tokens }).collect();
+    let number = UsageReportNumber { term: 7, sequence: 9 };
+    Command::ReportUsage { route: ROUTE.to_owned(), shard, number, timestamp: 4 * SECOND, usage }
 }
 
-fn list_stored(job: &str, item: &str, state: State, text: StoredText) -> Command {
-    Command::List { job: job.to_owned(), item: item.to_owned(), state, text }
+fn finish_with(job: &str, item: &str, outcome: ItemOutcome, text: StoredText) -> Command {
+    Command::FinishItem { job: job.to_owned(), item: item.to_owned(), outcome, text }
 }
 
 /// A command of every kind, and the ways in which parts of them can be empty or full.
@@ -38,8 +41,8 @@
         ("submit", submit_within("other", 500, DUE, vec![bare, full])),
         ("submit", submit("nothing", &[])),
         ("list", list("job", "a", "out")),
-        ("list", list_stored("job", "b", State::Complete, long)),
-        ("list", list_stored("job", "c", State::Complete, StoredText::plain(b"plain"))),
+        ("list", finish_with("job", "b", ItemOutcome::Complete, long)),
+        ("list", finish_with("job", "c", ItemOutcome::Complete, StoredText::plain(b"plain"))),
         ("list", abandon("other", "bare")),
         ("end", end("other")),
         ("forget", Command::Forget { before: 5 * SECOND }),
@@ -54,8 +57,8 @@
 }
 
 /// Three batch jobs: one is all listed, one is open in part, one was ended.
-fn register() -> Register {
-    let mut register = Register::default();
+fn table() -> JobTable {
+    let mut table = JobTable::default();
     let text = LONG_OUTPUT.repeat(20);
     let commands = [
         submit("complete", &["a", "b"]),
@@ -68,17 +71,17 @@
         end("ended"),
     ];
     for command in &commands {
-        register.apply(command);
+        table.apply(command);
     }
-    register
+    table
 }
 
 /// A batch job that is too long for one piece.
-fn long_register() -> Register {
-    let mut register = Register::default();
+fn long_table() -> JobTable {
+    let mut table = JobTable::default();
     let items = (0..2).map(|id| Item { body: vec![b'b'; 40_000].into(), ..item(&format!("{id}"), 1) });
-    register.apply(&submit_within("long", 0, DUE, items.collect()));
-    register
+    table.apply(&submit_within("long", 0, DUE, items.collect()));
+    table
 }
 
 fn quota_ledger() -> QuotaLedger {
@@ -101,7 +104,7 @@
 
 #[test]
 fn given_texts_that_are_stored_then_their_bytes_are_the_committed_ones_and_are_read_again() {
-    let texts = ["".to_owned(), "short".to_owned(), LONG_OUTPUT.repeat(20)];
+    let texts = [String::new(), "short".to_owned(), LONG_OUTPUT.repeat(20)];
     let stored =
         |text: &String| ("stored text".to_owned(), StoredText::new(text.as_bytes()).stored().clone());
     let committed = fixture::pin("texts", &texts.iter().map(stored).collect::<Vec<_>>());
@@ -113,7 +116,7 @@
 
 #[test]
 fn given_a_register_then_its_pieces_are_the_committed_ones_and_make_the_same_register() {
-    let made = chunks(&register()).into_iter().map(|chunk| ("piece".to_owned(), chunk));
+    let made = chunks(&table()).into_iter().map(|chunk| ("piece".to_owned(), chunk));
     let committed = fixture::pin("register", &made.collect::<Vec<_>>());
     let restored = restore(&fixture::of_kind(&committed, "piece")).unwrap();
     let complete = read(&restored, "complete", 0).unwrap();
@@ -124,8 +127,8 @@
     assert_eq!(read(&restored, "open", 0).unwrap().grand_total, 3);
     let ended = read(&restored, "ended", 0).unwrap();
     assert_eq!(ended.outputs[0].state, "abandoned");
-    assert_eq!(restored.totals(), register().totals());
-    assert_eq!(chunks(&restored), chunks(&register()));
+    assert_eq!(restored.totals(), table().totals());
+    assert_eq!(chunks(&restored), chunks(&table()));
 }
 
 #[test]
@@ -137,7 +140,7 @@
         let start = ("start".to_owned(), chunk.slice(..chunk.len().min(200)));
         [length, start, ("end".to_owned(), chunk.slice(end..))]
     };
-    let made: fixture::Lines = chunks(&long_register()).into_iter().flat_map(edges).collect();
+    let made: fixture::Lines = chunks(&long_table()).into_iter().flat_map(edges).collect();
     assert_eq!(made.len(), 3 * 3, "a header and two pieces");
     fixture::pin("long_register", &made);
 }
@@ -146,6 +149,6 @@
 fn given_a_ledger_then_its_snapshot_is_the_committed_one_and_is_read_again() {
     let committed = fixture::pin("ledger", &[("ledger".to_owned(), quota_ledger().snapshot())]);
     let restored = QuotaLedger::restore(&committed[0].1).unwrap();
-    assert_eq!(restored.tokens(ROUTE), 20 + 40 + 500);
+    assert_eq!(restored.route_tokens(ROUTE), 20 + 40 + 500);
     assert_eq!(restored.snapshot(), quota_ledger().snapshot());
 }
--- a/crates/tier/src/settings.rs
+++ b/crates/tier/src/settings.rs
@@ -149,7 +149,7 @@
 pub struct Bounds {
     /// Time for a graceful shutdown, in seconds.
     pub grace_s: f64,
-    /// Time that the gateway itself may add to a request, in milliseconds.
+    /// Handed to the gateway, which does not use it, in milliseconds.
     #[serde(default = "default_pass_ms")]
     pub pass_ms: f64,
     /// How long a finished batch job can be read, in seconds.
