--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -7,7 +7,7 @@
 use rainlug_soak::run::run;
 use rainlug_soak::tier::Error;
 use rainlug_soak::verdict::{Tally, Verdict};
-use rainlug_tier::process::Role;
+use rainlug_tier::process::ProcessRole;
 use rainlug_tier::roles::{self, ServeOptions, WorkerOptions, serve_options, worker_options};
 
 /// What an interrupted run ends with.
@@ -58,8 +58,8 @@
 
 fn main() -> ExitCode {
     match command().run() {
-        Command::Gateway(options) => roles::serve(Role::Gateway, options),
-        Command::Store(options) => roles::serve(Role::Store, options),
+        Command::Gateway(options) => roles::serve(ProcessRole::Gateway, options),
+        Command::Store(options) => roles::serve(ProcessRole::Store, options),
         Command::Worker(options) => roles::serve_worker(options),
         Command::Soak(options) if !options.is_sound() => {
             eprintln!("rainlug-soak: no such run: see docs/soak.md for what counts and limits may be");
--- a/crates/soak/src/monitor.rs
+++ b/crates/soak/src/monitor.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use rainlug_sim_worker::client::{self, Ask};
-use rainlug_tier::local::ProcessRole;
+use rainlug_tier::local::MachineRole;
 use rainlug_tier::process_memory::{self, MemoryMetric};
 use tokio::time::{Instant, sleep};
 
@@ -69,7 +69,7 @@
         let Some(process) = host.process() else { continue };
         let Some(peak) = memory_kib(process, MemoryMetric::Peak) else { continue };
         soak.most(format!("peak KiB of a {:?}", host.machine.role), peak);
-        if host.machine.role != ProcessRole::Worker && peak > limit && over.insert(process) {
+        if host.machine.role != MachineRole::Worker && peak > limit && over.insert(process) {
             found.push(format!("{}: {peak} KiB of memory, {limit} are its limit", host.machine.name));
         }
     }
@@ -80,7 +80,7 @@
 fn kill_over_memory(soak: &Soak) {
     let limit = u64::from(soak.options.memory_mb) * 1024;
     let mut tier = soak.tier.borrow_mut();
-    for index in tier.of(&[ProcessRole::Gateway, ProcessRole::Store]) {
+    for index in tier.of(&[MachineRole::Gateway, MachineRole::Store]) {
         let process =
             tier.hosts.get(index).filter(|host| host.running == Running::Up).and_then(Host::process);
         let used = process.and_then(|process| memory_kib(process, MemoryMetric::Resident));
@@ -99,7 +99,7 @@
         sleep(FIGURES).await;
         let processes: Vec<(String, u32, SocketAddr)> = {
             let tier = soak.tier.borrow();
-            let keepers = tier.hosts.iter().filter(|host| host.machine.role != ProcessRole::Worker);
+            let keepers = tier.hosts.iter().filter(|host| host.machine.role != MachineRole::Worker);
             let up = keepers.filter(|host| host.running == Running::Up);
             up.filter_map(|host| {
                 Some((host.machine.name.clone(), host.process()?, tier.plan.control_address(&host.machine)))
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rainlug_sim_worker::client::{self, Ask};
-use rainlug_tier::local::ProcessRole;
+use rainlug_tier::local::MachineRole;
 use rand::Rng;
 use rand::rngs::SmallRng;
 use serde::Deserialize;
@@ -126,7 +126,7 @@
             }
             sleep(LOOK).await;
         }
-        let stores = soak.tier.borrow().of(&[ProcessRole::Store]);
+        let stores = soak.tier.borrow().of(&[MachineRole::Store]);
         let index = stores[random.random_range(0..stores.len())];
         retire(&soak, &mut random, index).await;
     }
--- a/crates/soak/src/settle.rs
+++ b/crates/soak/src/settle.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use rainlug_sim_worker::client::Ask;
-use rainlug_tier::local::ProcessRole;
+use rainlug_tier::local::MachineRole;
 use rand::rngs::SmallRng;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -178,7 +178,7 @@
     let mut tier = soak.tier.borrow_mut();
     tier.network.heal_all();
     let mut failed = tier.write_faults().err();
-    for index in tier.of(&[ProcessRole::Gateway, ProcessRole::Store, ProcessRole::Worker]) {
+    for index in tier.of(&[MachineRole::Gateway, MachineRole::Store, MachineRole::Worker]) {
         tier.resume(index);
         if !tier.hosts[index].is_busy {
             failed = failed.or(tier.start(index).err());
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use rainlug_tier::local::ProcessRole;
+use rainlug_tier::local::MachineRole;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
@@ -138,7 +138,7 @@
 
     fn any(&self, random: &mut SmallRng, at: impl Fn(&Tier, usize) -> SocketAddr) -> SocketAddr {
         let tier = self.tier.borrow();
-        let gateways = tier.of(&[ProcessRole::Gateway]);
+        let gateways = tier.of(&[MachineRole::Gateway]);
         let index = gateways.get(random.random_range(0..gateways.len().max(1))).copied().unwrap_or(0);
         at(&tier, index)
     }
--- a/crates/soak/src/throttle.rs
+++ b/crates/soak/src/throttle.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rainlug_tier::local::ProcessRole;
+use rainlug_tier::local::MachineRole;
 use tokio::time::{Instant, sleep};
 
 use crate::soak::{Soak, Stage};
@@ -36,7 +36,7 @@
             period_ends = Instant::now() + PERIOD;
         }
         for host in &mut soak.tier.borrow_mut().hosts {
-            if host.machine.role == ProcessRole::Worker
+            if host.machine.role == MachineRole::Worker
                 || !matches!(host.running, Running::Up | Running::Paused)
             {
                 continue;
--- a/crates/soak/src/tier.rs
+++ b/crates/soak/src/tier.rs
@@ -9,7 +9,7 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use quick_error::quick_error;
-use rainlug_tier::local::{self, Machine, Plan, ProcessRole, spawn};
+use rainlug_tier::local::{self, Machine, MachineRole, Plan, spawn};
 use toml::{Table, Value};
 
 use crate::network::Network;
@@ -137,7 +137,7 @@
     }
 
     fn write_settings(&self) -> Result<(), Error> {
-        let keepers = self.hosts.iter().filter(|host| host.machine.role != ProcessRole::Worker);
+        let keepers = self.hosts.iter().filter(|host| host.machine.role != MachineRole::Worker);
         keepers.map(|host| &host.machine).try_for_each(|machine| self.write_settings_of(machine))
     }
 
@@ -181,7 +181,7 @@
     /// What the program is started with, workers fast enough to fill disks.
     fn arguments(&self, machine: &Machine) -> Vec<String> {
         let mut all = self.plan.arguments(machine);
-        if machine.role == ProcessRole::Worker {
+        if machine.role == MachineRole::Worker {
             let words = self.limits.words_per_token.to_string();
             let more =
                 ["--slots", "32", "--step-ms", "2", "--step-more-ms", "0.05", "--words-per-token", &words];
@@ -277,7 +277,7 @@
     pub fn write_faults(&self) -> Result<(), Error> {
         let peers: Vec<SocketAddr> =
             self.hosts.iter().map(|host| self.plan.peer_address(&host.machine)).collect();
-        for host in self.hosts.iter().filter(|host| host.machine.role != ProcessRole::Worker) {
+        for host in self.hosts.iter().filter(|host| host.machine.role != MachineRole::Worker) {
             let text = self.network.faults_of(self.plan.peer_address(&host.machine), &peers);
             let file = self.fault_file(&host.machine.name);
             let next = file.with_extension("next");
@@ -307,12 +307,12 @@
         let is_away = |host: &&Host| {
             host.running != Running::Up || cut_off.contains(&self.plan.peer_address(&host.machine))
         };
-        let keepers = self.hosts.iter().filter(|host| host.machine.role != ProcessRole::Worker);
+        let keepers = self.hosts.iter().filter(|host| host.machine.role != MachineRole::Worker);
         keepers.filter(is_away).map(|host| host.machine.name.clone()).collect()
     }
 
     /// Machines of these roles, by index.
-    pub fn of(&self, roles: &[ProcessRole]) -> Vec<usize> {
+    pub fn of(&self, roles: &[MachineRole]) -> Vec<usize> {
         let all = self.hosts.iter().enumerate();
         all.filter(|(_, host)| roles.contains(&host.machine.role)).map(|(index, _)| index).collect()
     }
--- a/crates/soak/src/trouble.rs
+++ b/crates/soak/src/trouble.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use rainlug_tier::local::ProcessRole;
+use rainlug_tier::local::MachineRole;
 use rand::Rng;
 use rand::rngs::SmallRng;
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -19,7 +19,7 @@
 /// All troubles end in this time once no new ones begin.
 const CLOSING: Duration = Duration::from_secs(5);
 const LOOK: Duration = Duration::from_millis(100);
-const KEEPERS: [ProcessRole; 2] = [ProcessRole::Gateway, ProcessRole::Store];
+const KEEPERS: [MachineRole; 2] = [MachineRole::Gateway, MachineRole::Store];
 
 /// What may befall the tier. Machines are told by their index.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
 fn draw(soak: &Soak, random: &mut SmallRng) -> Option<Trouble> {
     let tier = soak.tier.borrow();
     let is_free = |index: &usize| tier.hosts.get(*index).is_some_and(|host| !host.is_busy);
-    let free = |roles: &[ProcessRole]| -> Vec<usize> { tier.of(roles).into_iter().filter(is_free).collect() };
+    let free = |roles: &[MachineRole]| -> Vec<usize> { tier.of(roles).into_iter().filter(is_free).collect() };
     let keepers = tier.of(&KEEPERS);
     let is_all_free = keepers.iter().all(is_free);
     let losses = soak.losses.borrow();
@@ -73,7 +73,7 @@
             Some(Trouble::Kill { machines, down: millis(random, 50..3000) })
         }
         24..30 => {
-            let machine = *free(&[ProcessRole::Worker]).choose(random)?;
+            let machine = *free(&[MachineRole::Worker]).choose(random)?;
             Some(Trouble::Kill { machines: vec![machine], down: millis(random, 50..3000) })
         }
         30..48 => {
@@ -85,14 +85,14 @@
             if losses.allowed() <= away {
                 return None;
             }
-            let roles = if random.random_bool(0.75) { [ProcessRole::Store; 2] } else { KEEPERS };
+            let roles = if random.random_bool(0.75) { [MachineRole::Store; 2] } else { KEEPERS };
             let machine = *free(&roles).choose(random)?;
             let machines = vec![machine];
             Some(Trouble::Wipe { wiped: machines.clone(), machines, down: millis(random, 50..2000) })
         }
         62..65 if is_all_free => Some(Trouble::Kill { machines: keepers, down: millis(random, 50..2000) }),
         65..70 if is_all_free && losses.allowed() > 0 => {
-            let roles = if random.random_bool(0.75) { [ProcessRole::Store; 2] } else { KEEPERS };
+            let roles = if random.random_bool(0.75) { [MachineRole::Store; 2] } else { KEEPERS };
             let mut wiped = tier.of(&roles);
             wiped.retain(|index| !is_lost(index));
             wiped.shuffle(random);
@@ -139,7 +139,7 @@
         sleep(LOOK).await;
     }
     let machines = soak.tier.borrow().of(&KEEPERS);
-    let mut wiped = soak.tier.borrow().of(&[ProcessRole::Store]);
+    let mut wiped = soak.tier.borrow().of(&[MachineRole::Store]);
     wiped.retain(|index| !soak.losses.borrow().counts(&soak.tier.borrow().name(*index)));
     wiped.shuffle(random);
     wiped.truncate(soak.losses.borrow().allowed());
--- a/crates/tier/src/local.rs
+++ b/crates/tier/src/local.rs
@@ -86,7 +86,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProcessRole {
+pub enum MachineRole {
     Gateway,
     Store,
     Worker,
@@ -96,7 +96,7 @@
 #[derive(Clone, Debug)]
 pub struct Machine {
     pub name: String,
-    pub role: ProcessRole,
+    pub role: MachineRole,
     pub ip: Ipv4Addr,
     pub zone: &'static str,
 }
@@ -117,9 +117,9 @@
     /// All processes, from 127.0.0.2 on: gateways, stores, workers.
     pub fn machines(&self) -> Vec<Machine> {
         let roles = [
-            (ProcessRole::Gateway, "gateway", self.gateways),
-            (ProcessRole::Store, "store", self.stores),
-            (ProcessRole::Worker, "worker", self.workers),
+            (MachineRole::Gateway, "gateway", self.gateways),
+            (MachineRole::Store, "store", self.stores),
+            (MachineRole::Worker, "worker", self.workers),
         ];
         let mut all = Vec::new();
         let mut last = 1;
@@ -158,7 +158,7 @@
     }
 
     fn gateways(&self) -> Vec<Machine> {
-        self.machines().into_iter().filter(|m| m.role == ProcessRole::Gateway).collect()
+        self.machines().into_iter().filter(|m| m.role == MachineRole::Gateway).collect()
     }
 
     /// Where clients, operators and `GET /v1/readiness` call.
@@ -191,7 +191,7 @@
     pub fn settings_text(&self, machine: &Machine, first_boot: bool) -> String {
         let text = |text: &str| Value::String(text.to_owned());
         let address = |port| text(&self.at(machine, port).to_string());
-        let gateway = machine.role == ProcessRole::Gateway;
+        let gateway = machine.role == MachineRole::Gateway;
         let seeds = self.control_addresses().into_iter().take(if self.tolerates() > 0 { 3 } else { 1 });
         let seeds: Vec<Value> = seeds.map(|at| text(&at.to_string())).collect();
         let ports = [PEERS.0, PEERS.1].map(|p| Value::Integer(i64::from(self.base_port + p)));
@@ -272,7 +272,7 @@
     }
 
     fn write_settings(&self, first_boot: bool) -> Result<(), Error> {
-        for machine in self.machines().iter().filter(|m| m.role != ProcessRole::Worker) {
+        for machine in self.machines().iter().filter(|m| m.role != MachineRole::Worker) {
             self.write(&self.settings_file(&machine.name), &self.settings_text(machine, first_boot))?;
         }
         Ok(())
@@ -285,9 +285,9 @@
     pub fn check_addresses_free(&self) -> Result<(), Error> {
         for machine in self.machines() {
             let ports = match machine.role {
-                ProcessRole::Gateway => vec![FRONT, READY, CONTROL, PEERS.0],
-                ProcessRole::Store => vec![PEERS.0],
-                ProcessRole::Worker => vec![WORK],
+                MachineRole::Gateway => vec![FRONT, READY, CONTROL, PEERS.0],
+                MachineRole::Store => vec![PEERS.0],
+                MachineRole::Worker => vec![WORK],
             };
             for at in ports.into_iter().map(|port| self.at(&machine, port)) {
                 TcpListener::bind(at).map_err(|e| Error::Taken(at, e))?;
@@ -300,9 +300,9 @@
     pub fn arguments(&self, machine: &Machine) -> Vec<String> {
         let settings = self.settings_file(&machine.name).to_string_lossy().into_owned();
         let mut all: Vec<String> = match machine.role {
-            ProcessRole::Gateway => vec!["gateway".into(), "--settings".into(), settings],
-            ProcessRole::Store => vec!["store".into(), "--settings".into(), settings],
-            ProcessRole::Worker => {
+            MachineRole::Gateway => vec!["gateway".into(), "--settings".into(), settings],
+            MachineRole::Store => vec!["store".into(), "--settings".into(), settings],
+            MachineRole::Worker => {
                 let at = self.at(machine, WORK).to_string();
                 let told = [
                     ("--name", machine.name.clone()),
@@ -391,7 +391,7 @@
 impl Tier {
     /// Ends all in order: workers, while there is somebody to hear their drains; those who take requests; stores.
     async fn end(&mut self) {
-        for role in [ProcessRole::Worker, ProcessRole::Gateway, ProcessRole::Store] {
+        for role in [MachineRole::Worker, MachineRole::Gateway, MachineRole::Store] {
             let mut these: Vec<&mut Started> =
                 self.all.iter_mut().filter(|s| s.machine.role == role).collect();
             these.iter_mut().filter(|s| s.over.is_none()).for_each(|s| s.tell_to_end());
@@ -514,9 +514,9 @@
             let m = &s.machine;
             let at = |port| plan.at(m, port).to_string();
             let (serves, control) = match m.role {
-                ProcessRole::Gateway => (at(FRONT), at(CONTROL)),
-                ProcessRole::Store => ("-".to_owned(), "-".to_owned()),
-                ProcessRole::Worker => (at(WORK), "-".to_owned()),
+                MachineRole::Gateway => (at(FRONT), at(CONTROL)),
+                MachineRole::Store => ("-".to_owned(), "-".to_owned()),
+                MachineRole::Worker => (at(WORK), "-".to_owned()),
             };
             vec![m.name.clone(), m.zone.to_owned(), s.child.id().to_string(), serves, control]
         };
--- a/crates/tier/src/main.rs
+++ b/crates/tier/src/main.rs
@@ -9,7 +9,7 @@
 use rainlug_tier::listings::{Members, Parts, Stores, Workers};
 use rainlug_tier::local::{self, Plan, plan};
 use rainlug_tier::operator::{self, Retire};
-use rainlug_tier::process::Role;
+use rainlug_tier::process::ProcessRole;
 use rainlug_tier::roles::{
     self, ServeOptions, WorkerOptions, exit_with_error, serve_options, worker_options,
 };
@@ -141,8 +141,8 @@
 
 fn main() -> ExitCode {
     match rainlug().run() {
-        Rainlug::Gateway(options) => roles::serve(Role::Gateway, options),
-        Rainlug::Store(options) => roles::serve(Role::Store, options),
+        Rainlug::Gateway(options) => roles::serve(ProcessRole::Gateway, options),
+        Rainlug::Store(options) => roles::serve(ProcessRole::Store, options),
         Rainlug::Worker(options) => roles::serve_worker(options),
         Rainlug::Local(plan) => match roles::block_on_local(local::run(plan)) {
             Ok(()) => ExitCode::SUCCESS,
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -32,7 +32,7 @@
 use crate::disk::{Disk, PartLog, Told};
 use crate::log;
 use crate::peers::Peers;
-use crate::process::Role;
+
 use crate::settings::{self, Settings};
 use crate::step_times::StepTimes;
 
@@ -60,7 +60,7 @@
 }
 
 pub struct Node {
-    role: Role,
+    role: ProcessRole,
     clock: Clock,
     coordinator: RefCell<Coordinator>,
     socket: UdpSocket,
@@ -113,12 +113,12 @@
     ///
     /// # Errors
     /// Where settings, sockets or disk cannot be used.
-    pub async fn run(role: Role, settings: Settings, mechanisms: Mechanisms) -> Result<(), Error> {
+    pub async fn run(role: ProcessRole, settings: Settings, mechanisms: Mechanisms) -> Result<(), Error> {
         let clock = Clock::start();
         let (saved, mut on_disk) = mpsc::unbounded_channel::<Told>();
         let peer = settings.peer_address();
         let seeds = settings.seed_peer_addresses();
-        let founds = settings.first_boot && role == Role::Gateway && seeds.contains(&peer);
+        let founds = settings.first_boot && role == ProcessRole::Gateway && seeds.contains(&peer);
         let drawn = if founds { founding_id(peer) } else { draw().max(1) };
         let disk_bytes = (settings.limits.disk_mb.max(1.0) * 1e6) as u64;
         let (disk, logs) = match &settings.data_dir {
@@ -134,7 +134,7 @@
             zone: settings.zone.clone(),
             peer_address: peer,
             control_address: control_at,
-            role: if role == Role::Gateway { ProcessRole::Gateway } else { ProcessRole::Store },
+            role,
             disk: disk.as_ref().map(Disk::id),
             first_boot: settings.first_boot,
             seeds,
@@ -212,7 +212,7 @@
             spawn_local(control::serve(node.clone(), listen(at).await?));
         }
         spawn_local(crate::metrics::start(node.clone(), settings.ip));
-        if role == Role::Gateway {
+        if role == ProcessRole::Gateway {
             let front = settings.listen.front.ok_or(Error::Missing("listen.front"))?;
             spawn_local(node.gateway.clone().serve(listen(front).await?, Rc::new(Desk(node.clone()))));
         }
@@ -240,7 +240,7 @@
             }
         }
         log::event("stop", "told to end");
-        if self.role == Role::Gateway {
+        if self.role == ProcessRole::Gateway {
             // Bounded by itself: it ends before the grace does.
             self.gateway.stop().await;
         }
--- a/crates/tier/src/roles.rs
+++ b/crates/tier/src/roles.rs
@@ -12,7 +12,7 @@
 
 use crate::log;
 use crate::node::Node;
-use crate::process::Role;
+use crate::process::ProcessRole;
 use crate::settings::Settings;
 
 /// How a gateway or a store is options.
@@ -92,7 +92,7 @@
 }
 
 /// Serves as a gateway or a store until the process is told to end.
-pub fn serve(role: Role, options: ServeOptions) -> ExitCode {
+pub fn serve(role: ProcessRole, options: ServeOptions) -> ExitCode {
     let settings = match options.settings {
         Some(path) => Settings::from_file(&path),
         None => Settings::from_environment(),
--- a/crates/tier/tests/outside.rs
+++ b/crates/tier/tests/outside.rs
@@ -32,7 +32,7 @@
 fn all_keys(name: &str) -> Table {
     let plan = plan();
     let machine: Machine = plan.machines().into_iter().find(|m| m.name == format!("{name}-1")).unwrap();
-    let mut settings: Table = plan.settings(&machine, true).parse().unwrap();
+    let mut settings: Table = plan.settings_text(&machine, true).parse().unwrap();
     for (key, value) in OPTIONAL.parse::<Table>().unwrap() {
         match (settings.get_mut(&key), value) {
             (Some(Value::Table(there)), Value::Table(more)) => there.extend(more),
@@ -103,7 +103,7 @@
         ("first_boot", s.first_boot.to_string()),
         ("data_dir", format!("{:?}", s.data_dir)),
         ("fault_file", format!("{:?}", s.fault_file)),
-        ("beat_ms", s.beat_ms.to_string()),
+        ("beat_ms", s.heartbeat_ms.to_string()),
         ("zones", format!("{:?}", s.zones)),
         ("log_level", s.log_level.clone()),
         ("listen.front", format!("{:?}", s.listen.front)),
@@ -139,7 +139,7 @@
     }
     let found = checked(&files);
     assert_eq!((&found[&name][..], &found["unknown-key.toml"][..]), ("sound", "sound"));
-    let mut lines = read(&Settings::read(&committed).unwrap()) + "\n";
+    let mut lines = read(&Settings::parse(&committed).unwrap()) + "\n";
     for (place, _) in places(&settings) {
         let of = |how: &str| &found[&format!("{how}-{place}.toml")];
         lines += &format!("{place}: absent {}; odd {}\n", of("without"), of("odd"));
--- a/crates/tier/tests/outside/tier.rs
+++ b/crates/tier/tests/outside/tier.rs
@@ -7,7 +7,7 @@
 use std::process::{Child, Command};
 use std::time::{Duration, Instant};
 
-use rainlug_tier::local::{CONFIGURATION, HOST, Plan, Role, spawn};
+use rainlug_tier::local::{CONFIGURATION, HOST, MachineRole, Plan, spawn};
 use rainlug_tier::metrics;
 use serde_json::Value;
 
@@ -58,8 +58,8 @@
             std::fs::create_dir(self.plan.dir.join(folder)).unwrap();
         }
         for machine in self.plan.machines() {
-            if machine.role != Role::Worker {
-                let settings = self.moved(&self.plan.settings(&machine, true));
+            if machine.role != MachineRole::Worker {
+                let settings = self.moved(&self.plan.settings_text(&machine, true));
                 std::fs::write(self.plan.settings_file(&machine.name), settings).unwrap();
             }
             let arguments: Vec<String> =
@@ -84,7 +84,11 @@
 
     /// What a subcommand says at the gateway; asked again until it has an answer.
     fn operator(&self, arguments: &[&str]) -> String {
-        let at = if arguments[0] == "lot" { self.plan.fronts()[0] } else { self.plan.controls()[0] };
+        let at = if arguments[0] == "lot" {
+            self.plan.front_addresses()[0]
+        } else {
+            self.plan.control_addresses()[0]
+        };
         let at = self.address(at);
         let until = Instant::now() + MOST;
         loop {
@@ -99,7 +103,7 @@
     }
 
     fn submit(&self) {
-        let front = self.address(self.plan.fronts()[0]);
+        let front = self.address(self.plan.front_addresses()[0]);
         let fields = format!("Host: {HOST}\r\nX-Rainlug-Attempt-Id: lot1\r\nContent-Type: application/json");
         let until = Instant::now() + MOST;
         while call(&front, "POST", "/batch/lot1", &fields, LOT).0 != 202 {
@@ -147,8 +151,9 @@
 
     /// Answers to calls without the program's help.
     fn answers(&self) -> String {
-        let (front, ready) = (self.address(self.plan.fronts()[0]), self.address(self.plan.readies()[0]));
-        let control = self.address(self.plan.controls()[0]);
+        let (front, ready) =
+            (self.address(self.plan.front_addresses()[0]), self.address(self.plan.readiness_addresses()[0]));
+        let control = self.address(self.plan.control_addresses()[0]);
         let host = format!("Host: {HOST}");
         let calls = [
             (&front, "GET", "/v1/lots/lot1?since_item=0", ""),
