--- a/crates/tier/src/disk.rs
+++ b/crates/tier/src/disk.rs
@@ -1,4 +1,7 @@
-//! The process's disk: its identity, and a log for each part that it has a replica of, each written by a thread of its own.
+//! The process's disk: its identity, and a log for each shard that it has a replica of, each written by a thread of its own.
+//!
+//! A member of a replica set is a disk: one that comes back empty, or is given another identity, is another member and holds
+//! nothing (VR's recovery). Reports of a log's thread therefore carry the identity under which the log was begun.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -12,48 +15,52 @@
 use rainlug_wal::{DiskSpace, Error, OsFileSystem, RecordSource, Wal, Writer, WriterEvent};
 use tokio::sync::mpsc;
 
-/// What the thread of a part's log tells of.
+/// A report of the thread that writes a shard's log.
 #[derive(Debug)]
-pub struct Told {
+pub struct WriterReport {
     /// The identity that the disk had when the log was begun.
     pub disk: u64,
+    /// The shard whose log it is.
     pub shard: u16,
-    pub report: WriterEvent,
+    /// What happened.
+    pub event: WriterEvent,
 }
 
-/// A part's records, in order.
-pub type PartLog = (u16, Vec<Bytes>);
+/// A shard's number and the records of its log, in order.
+pub type ShardLog = (u16, Vec<Bytes>);
 
+/// The open disk.
 pub struct Disk {
     dir: PathBuf,
     identity: Identity,
-    room: Arc<DiskSpace>,
+    space: Arc<DiskSpace>,
     writers: BTreeMap<u16, Writer>,
-    told: mpsc::UnboundedSender<Told>,
+    reports: mpsc::UnboundedSender<WriterReport>,
 }
 
 /// Which disk this is, on the disk itself.
 struct Identity {
     wal: Wal,
     id: u64,
-    /// How often it was given another one.
+    /// How often the disk was given another one.
     renewals: usize,
 }
 
 impl Identity {
-    /// The identity that the disk has, or is given now; it is on the disk when this returns.
-    fn open(dir: &Path, drawn: u64) -> Result<Self, Error> {
+    /// The identity that the disk has, or else `new_id`; it is synced when this returns.
+    fn open(dir: &Path, new_id: u64) -> Result<Self, Error> {
         let (mut wal, records) = Wal::open(dir, "identity")?;
         let renewals = records.len().saturating_sub(1);
         let known = records.last().and_then(|r| r.get(..8)?.try_into().ok()).map(u64::from_le_bytes);
         if let Some(id) = known {
             return Ok(Identity { wal, id, renewals });
         }
-        wal.append(&[Bytes::copy_from_slice(&drawn.to_le_bytes())])?;
-        Ok(Identity { wal, id: drawn, renewals: 0 })
+        wal.append(&[Bytes::copy_from_slice(&new_id.to_le_bytes())])?;
+        Ok(Identity { wal, id: new_id, renewals: 0 })
     }
 
-    /// Where the disk refuses it, it holds until the process ends; what was kept under it is then lost, as with a lost disk.
+    /// Gives the disk another identity. It is in force also where the disk refuses to store it; what is kept under it is then
+    /// lost when the process ends, as with a lost disk.
     fn renew(&mut self, id: u64) -> Result<(), Error> {
         self.id = id;
         self.renewals += 1;
@@ -61,30 +68,31 @@
     }
 }
 
-/// The file of a part. One that the disk had under an earlier identity has another name: its thread may still write it.
-fn name(shard: u16, renewals: usize) -> String {
+/// The file of a shard's log. One that the disk had under an earlier identity has another name: its thread may still write it.
+fn log_file_name(shard: u16, renewals: usize) -> String {
     match renewals {
         0 => format!("part-{shard}"),
         _ => format!("part-{shard}-{renewals}"),
     }
 }
 
-fn remove(path: &Path) -> Result<(), Error> {
+/// Removes a file if it is there.
+fn remove_file(path: &Path) -> Result<(), Error> {
     match fs::remove_file(path) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => Err(Error::Io(path.to_owned(), e)),
         _ => Ok(()),
     }
 }
 
-/// Makes the folder if it is missing, and makes its name last. The folder above may be none of this process's: only where the
-/// folder was made just now does a failed sync of that count.
-fn make_folder(dir: &Path) -> Result<(), Error> {
+/// Makes the folder if it is missing, and syncs its name. The parent may belong to others and refuse the sync: that is an error
+/// only where the folder was made just now.
+fn create_dir_synced(dir: &Path) -> Result<(), Error> {
     let is_new = !dir.exists();
     fs::create_dir_all(dir).map_err(|e| Error::Io(dir.to_owned(), e))?;
-    let Some(above) = dir.parent() else { return Ok(()) };
-    let synced: io::Result<()> = File::open(above).and_then(|folder| folder.sync_all());
+    let Some(parent) = dir.parent() else { return Ok(()) };
+    let synced: io::Result<()> = File::open(parent).and_then(|folder| folder.sync_all());
     match synced {
-        Err(error) if is_new => Err(Error::Io(above.to_owned(), error)),
+        Err(error) if is_new => Err(Error::Io(parent.to_owned(), error)),
         _ => Ok(()),
     }
 }
@@ -107,27 +115,28 @@
 }
 
 impl Disk {
-    /// A disk of so many bytes, with the identity that it has or is given now; and the records of the parts that are there.
+    /// Opens the disk in a folder, with room for `capacity` bytes of logs; returns it and the logs that it holds. An empty disk is
+    /// given the identity `new_id`. What happens to the logs is sent to `reports`.
     ///
     /// # Errors
     /// Where files cannot be used, or are damaged.
     pub fn open(
         dir: &Path,
         capacity: u64,
-        drawn: u64,
-        told: mpsc::UnboundedSender<Told>,
-    ) -> Result<(Self, Vec<PartLog>), Error> {
-        make_folder(dir)?;
-        let identity = Identity::open(dir, drawn)?;
-        let room = Arc::new(DiskSpace::new(capacity));
-        let mut disk = Disk { dir: dir.to_owned(), identity, room, writers: BTreeMap::new(), told };
+        new_id: u64,
+        reports: mpsc::UnboundedSender<WriterReport>,
+    ) -> Result<(Self, Vec<ShardLog>), Error> {
+        create_dir_synced(dir)?;
+        let identity = Identity::open(dir, new_id)?;
+        let space = Arc::new(DiskSpace::new(capacity));
+        let mut disk = Disk { dir: dir.to_owned(), identity, space, writers: BTreeMap::new(), reports };
         let mut logs = Vec::new();
         for shard in CONTROL..=BATCH_SHARDS {
-            disk.remove_earlier(shard)?;
-            let name = name(shard, disk.identity.renewals);
+            disk.remove_earlier_logs(shard)?;
+            let name = log_file_name(shard, disk.identity.renewals);
             if dir.join(&name).exists() {
-                let (wal, records) = Wal::open_with(OsFileSystem, disk.room.clone(), dir, &name)?;
-                disk.writers.insert(shard, Writer::start(wal, disk.reports(shard)));
+                let (wal, records) = Wal::open_with(OsFileSystem, disk.space.clone(), dir, &name)?;
+                disk.writers.insert(shard, Writer::start(wal, disk.reporter(shard)));
                 logs.push((shard, records));
             }
         }
@@ -139,52 +148,54 @@
         self.identity.id
     }
 
-    /// The room of the disk's logs.
-    pub fn room(&self) -> &Arc<DiskSpace> {
-        &self.room
+    /// The space that the disk's logs share.
+    pub fn space(&self) -> &Arc<DiskSpace> {
+        &self.space
     }
 
-    /// Gives the disk another identity, and drops the parts that it holds.
+    /// Gives the disk another identity, and drops all logs that it holds.
     ///
     /// # Errors
     /// Where files cannot be written or removed.
-    pub fn renew(&mut self, id: u64) -> Result<(), Error> {
-        // The identity first: nobody counts on parts under an earlier one.
+    pub fn renew_identity(&mut self, id: u64) -> Result<(), Error> {
+        // The identity first: nobody counts on logs under an earlier one.
         std::mem::take(&mut self.writers).into_values().for_each(Writer::remove);
         self.identity.renew(id)?;
-        (CONTROL..=BATCH_SHARDS).try_for_each(|shard| self.remove_earlier(shard))
+        (CONTROL..=BATCH_SHARDS).try_for_each(|shard| self.remove_earlier_logs(shard))
     }
 
-    /// Removes what a part had under earlier identities.
-    fn remove_earlier(&self, shard: u16) -> Result<(), Error> {
-        (0..self.identity.renewals).try_for_each(|earlier| remove(&self.dir.join(name(shard, earlier))))
+    /// Removes the logs that a shard had under earlier identities.
+    fn remove_earlier_logs(&self, shard: u16) -> Result<(), Error> {
+        (0..self.identity.renewals)
+            .try_for_each(|earlier| remove_file(&self.dir.join(log_file_name(shard, earlier))))
     }
 
-    fn reports(&self, shard: u16) -> impl Fn(WriterEvent) + Send + 'static {
-        let (told, disk) = (self.told.clone(), self.id());
-        move |report| {
-            let _ = told.send(Told { disk, shard, report });
+    /// What the thread of a shard's log calls with its events.
+    fn reporter(&self, shard: u16) -> impl Fn(WriterEvent) + Send + 'static {
+        let (reports, disk) = (self.reports.clone(), self.id());
+        move |event| {
+            let _ = reports.send(WriterReport { disk, shard, event });
         }
     }
 
-    /// The thread of a part's log; it makes the log if there is none.
+    /// The writer of a shard's log; the log is created if there is none.
     fn writer(&mut self, shard: u16) -> &Writer {
-        let (dir, room) = (self.dir.clone(), self.room.clone());
-        let (reports, name) = (self.reports(shard), name(shard, self.identity.renewals));
+        let (dir, space) = (self.dir.clone(), self.space.clone());
+        let (reporter, name) = (self.reporter(shard), log_file_name(shard, self.identity.renewals));
         self.writers.entry(shard).or_insert_with(|| {
-            let shared = room.clone();
+            let shared = space.clone();
             let open = move || Ok(Wal::open_with(OsFileSystem, shared.clone(), &dir, &name)?.0);
-            Writer::open(room, open, reports)
+            Writer::open(space, open, reporter)
         })
     }
 
-    /// Appends records; told through the channel when they are synced.
-    pub fn save(&mut self, shard: u16, ticket: u64, records: Vec<Bytes>) {
+    /// Appends records to a shard's log; a [`WriterReport`] with this ticket says when they are synced.
+    pub fn append(&mut self, shard: u16, ticket: u64, records: Vec<Bytes>) {
         self.writer(shard).append(ticket, records);
     }
 
-    /// Puts records in place of all that are there, or, without the first `implied` of them, behind.
-    /// The part's thread encodes them while it writes.
+    /// Replaces all records of a shard's log, or appends the new ones without the first `implied`, which follow from what the log
+    /// holds; a [`WriterReport`] with this ticket says when they are synced. The writer's thread encodes them while it writes.
     pub fn compact(&mut self, shard: u16, ticket: u64, records: Records, implied: usize) {
         self.writer(shard).compact(ticket, ReplicaRecords(records), implied);
     }
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -29,9 +29,9 @@
 
 use crate::clock::Clock;
 use crate::control;
-use crate::disk::{Disk, PartLog, Told};
+use crate::disk::{Disk, ShardLog, WriterReport};
 use crate::log;
-use crate::peers::Peers;
+use crate::peers::{Frame, Peers};
 
 use crate::settings::{self, Settings};
 use crate::step_times::StepTimes;
@@ -92,8 +92,8 @@
     dir: &Path,
     capacity: u64,
     drawn: u64,
-    told: mpsc::UnboundedSender<Told>,
-) -> Result<(Disk, Vec<PartLog>), Error> {
+    told: mpsc::UnboundedSender<WriterReport>,
+) -> Result<(Disk, Vec<ShardLog>), Error> {
     let mut is_failing = false;
     loop {
         match Disk::open(dir, capacity, drawn, told.clone()) {
@@ -115,7 +115,7 @@
     /// Where settings, sockets or disk cannot be used.
     pub async fn run(role: ProcessRole, settings: Settings, mechanisms: Mechanisms) -> Result<(), Error> {
         let clock = Clock::start();
-        let (saved, mut on_disk) = mpsc::unbounded_channel::<Told>();
+        let (saved, mut on_disk) = mpsc::unbounded_channel::<WriterReport>();
         let peer = settings.peer_address();
         let seeds = settings.seed_peer_addresses();
         let founds = settings.first_boot && role == ProcessRole::Gateway && seeds.contains(&peer);
@@ -186,13 +186,13 @@
             });
         });
         let tells = Rc::downgrade(&node);
-        node.peers.when_broke(Rc::new(move |at| {
+        node.peers.on_unreachable(Rc::new(move |at| {
             if let Some(node) = tells.upgrade() {
                 node.with("unreachable", |coordinator, now| coordinator.unreachable(now, at));
             }
         }));
         if let Some(file) = settings.fault_file {
-            spawn_local(node.peers.faults.clone().watch(file));
+            spawn_local(node.peers.faults().clone().watch(file));
         }
         spawn_local(node.peers.clone().listen(frames, frame));
         spawn_local(node.clone().datagrams());
@@ -204,7 +204,7 @@
             while let Some(told) = on_disk.recv().await {
                 let is_current = keeps.disk.borrow().as_ref().is_some_and(|disk| disk.id() == told.disk);
                 if is_current {
-                    keeps.disk_told(told.shard, told.report);
+                    keeps.disk_told(told.shard, told.event);
                 }
             }
         });
@@ -280,14 +280,14 @@
     fn carry_out(self: &Rc<Self>, effect: Effect) {
         match effect {
             // What the socket does not take now is lost, as any datagram may be.
-            Effect::Datagram { to, .. } if !self.peers.faults.may_send(to) => {}
+            Effect::Datagram { to, .. } if !self.peers.faults().may_send(to) => {}
             Effect::Datagram { to, bytes } => {
                 let _ = self.socket.try_send_to(&self.envelope.seal(&bytes), to);
             }
-            Effect::Frame { to, head, tail } => self.peers.send(to, head, tail),
+            Effect::Frame { to, head, tail } => self.peers.send(to, Frame { head, tail }),
             Effect::Save { shard, ticket, records } => {
                 if let Some(disk) = self.disk.borrow_mut().as_mut() {
-                    disk.save(shard, ticket, records);
+                    disk.append(shard, ticket, records);
                 }
             }
             Effect::Rewrite { shard, ticket, records, implied } => {
@@ -296,7 +296,7 @@
                 }
             }
             Effect::Renew { disk } => {
-                if let Some(Err(error)) = self.disk.borrow_mut().as_mut().map(|d| d.renew(disk)) {
+                if let Some(Err(error)) = self.disk.borrow_mut().as_mut().map(|d| d.renew_identity(disk)) {
                     log::error("disk", &error.to_string());
                 }
             }
@@ -392,7 +392,7 @@
             }
             for _ in 0..BURST {
                 let Ok((length, from)) = self.socket.try_recv_from(&mut buffer) else { break };
-                if !self.peers.faults.may_receive(from) {
+                if !self.peers.faults().may_receive(from) {
                     continue;
                 }
                 if let Ok(payload) = self.envelope.open(&buffer[..length]) {
@@ -431,11 +431,8 @@
     pub fn metrics(&self) -> String {
         let mut all = self.coordinator.borrow().metrics();
         all.extend(self.gateway.metrics());
-        let peers = &self.peers;
         all.extend(self.steps.metrics());
-        all.push(("peer_bytes_sent".to_owned(), peers.sent.get() as f64));
-        all.push(("peer_bytes_taken".to_owned(), peers.taken.get() as f64));
-        all.push(("peer_frames_dropped".to_owned(), peers.dropped.get() as f64));
+        all.extend(self.peers.metrics());
         all.iter().map(|(name, value)| format!("{name} {value}\n")).collect()
     }
 }
--- a/crates/tier/src/peers.rs
+++ b/crates/tier/src/peers.rs
@@ -1,5 +1,11 @@
-//! The process's lines to its peers: datagrams for membership, and a connection each way for frames. A connection begins with a
-//! mark and the address where its sender hears its own peers; a frame is its length, a check and its bytes.
+//! Connections between the tier's processes: each process opens one to each peer that it sends frames to.
+//!
+//! A connection begins with a preamble (the protocol's name and the address where its sender listens for its own peers); after it
+//! come [frames](frame). A frame is delivered once at most, complete, and in the order in which it was sent; it is lost where the
+//! connection breaks or too much waits. Consensus sends again what it misses, so nothing is acknowledged here.
+
+mod frame;
+mod outgoing;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -10,238 +16,166 @@
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use socket2::{SockRef, TcpKeepalive};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
-use xxhash_rust::xxh3::Xxh3Default;
 
+pub use self::frame::{Frame, MAX_FRAME_BYTES, decode_frame};
+use self::outgoing::FrameSender;
 use crate::faults::{self, Faults};
 
-/// What a connection begins with: the tier, and the version of its frames.
-const MARK: [u8; 4] = *b"rlt1";
-const HELLO: usize = MARK.len() + 6;
-/// Length and check before each frame.
-const HEAD: usize = 8;
-/// The longest frame that is taken, in bytes.
-const MOST_FRAME: usize = 16 << 20;
-/// Bytes that may wait for a peer; what comes beyond is dropped, as if lost on the way. The longest frame passes beside others: one
-/// that never does, an entry of a part's log, would hold up its part for good.
-const MOST_WAITING: usize = MOST_FRAME + (4 << 20);
-/// Bytes of the newest frames that are kept for a peer that cannot be reached.
-const MOST_KEPT: usize = 64 << 10;
-/// Bytes that are written in one go, about, and from where on a tail is not copied.
-const BATCH: usize = 64 << 10;
-const LARGE: usize = 16 << 10;
-const DIAL: Duration = Duration::from_millis(300);
-const PAUSE: Duration = Duration::from_millis(100);
-/// A peer that acknowledges nothing for so long is cut off or stands still.
-const SILENT: Duration = Duration::from_millis(2500);
-/// A connection without frames is closed after this time.
-const IDLE: Duration = Duration::from_secs(60);
-
-/// Frames that came: from whom, and the bytes.
-pub type Taken = Rc<dyn Fn(SocketAddr, Bytes)>;
-
-/// A peer that could not be reached, or whose connection broke.
-pub type Broke = Rc<dyn Fn(SocketAddr)>;
-
-/// A frame's head and tail.
-type Frame = (Bytes, Bytes);
-
-fn length(frame: &Frame) -> usize {
-    frame.0.len() + frame.1.len()
-}
-
-struct Line {
-    frames: mpsc::UnboundedSender<Frame>,
-    waiting: Rc<Cell<usize>>,
-}
-
+/// The protocol and the version of its frames.
+const MAGIC: [u8; 4] = *b"rlt1";
+/// The magic bytes, then the IPv4 address and the port (little-endian) of the sender.
+const PREAMBLE_BYTES: usize = MAGIC.len() + 6;
+/// Between two attempts to accept where the first one failed.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
+/// A peer that acknowledges nothing for so long is isolated or stands still.
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// A connection without traffic is checked after this time.
+const KEEPALIVE_TIME: Duration = Duration::from_secs(5);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_RETRIES: u32 = 3;
+/// Room that is made for each read, in bytes.
+const READ_BYTES: usize = 4096;
+
+/// Receives the frames of peers: the address where the sender listens for its peers, and the payload.
+pub type FrameHandler = Rc<dyn Fn(SocketAddr, Bytes)>;
+
+/// Is told of a peer that could not be reached, or whose connection broke.
+pub type UnreachableHandler = Rc<dyn Fn(SocketAddr)>;
+
+/// The connections of a process to and from its peers.
 pub struct Peers {
-    me: SocketAddr,
-    lines: RefCell<HashMap<SocketAddr, Line>>,
-    broke: RefCell<Option<Broke>>,
-    /// Cuts for drills.
-    pub faults: Rc<Faults>,
-    /// Bytes sent and taken, frames dropped for want of room.
-    pub sent: Cell<u64>,
-    pub taken: Cell<u64>,
-    pub dropped: Cell<u64>,
+    local_address: SocketAddr,
+    senders: RefCell<HashMap<SocketAddr, FrameSender>>,
+    on_unreachable: RefCell<Option<UnreachableHandler>>,
+    faults: Rc<Faults>,
+    sent_bytes: Cell<u64>,
+    received_bytes: Cell<u64>,
+    dropped_frames: Cell<u64>,
 }
 
 impl Peers {
-    pub fn new(me: SocketAddr) -> Rc<Self> {
+    /// Without connections yet; `local_address` is where this process listens for its peers.
+    pub fn new(local_address: SocketAddr) -> Rc<Self> {
         Rc::new(Peers {
-            me,
-            lines: RefCell::default(),
-            broke: RefCell::default(),
+            local_address,
+            senders: RefCell::default(),
+            on_unreachable: RefCell::default(),
             faults: Rc::default(),
-            sent: Cell::new(0),
-            taken: Cell::new(0),
-            dropped: Cell::new(0),
+            sent_bytes: Cell::new(0),
+            received_bytes: Cell::new(0),
+            dropped_frames: Cell::new(0),
         })
     }
 
-    /// Whom to tell of peers that cannot be reached.
-    pub fn when_broke(&self, tell: Broke) {
-        *self.broke.borrow_mut() = Some(tell);
+    /// The network partitions of drills.
+    pub fn faults(&self) -> &Rc<Faults> {
+        &self.faults
     }
 
-    /// Hands a frame to the line to a peer, which is opened where there is none.
-    pub fn send(self: &Rc<Self>, to: SocketAddr, head: Bytes, tail: Bytes) {
-        let frame = (head, tail);
-        let mut lines = self.lines.borrow_mut();
-        let line = lines.entry(to).or_insert_with(|| {
-            let (frames, queue) = mpsc::unbounded_channel();
-            let waiting = Rc::new(Cell::new(0));
-            spawn_local(self.clone().carry(to, queue, waiting.clone()));
-            Line { frames, waiting }
+    /// Sets who is told of peers that cannot be reached.
+    pub fn on_unreachable(&self, handler: UnreachableHandler) {
+        *self.on_unreachable.borrow_mut() = Some(handler);
+    }
+
+    /// Queues a frame for a peer; it is dropped where too much waits for that peer already.
+    pub fn send(self: &Rc<Self>, to: SocketAddr, frame: Frame) {
+        let mut senders = self.senders.borrow_mut();
+        let sender = senders.entry(to).or_insert_with(|| {
+            let (sender, queue) = outgoing::frame_queue();
+            spawn_local(self.clone().run_sender(to, queue));
+            sender
         });
-        if line.waiting.get() + length(&frame) > MOST_WAITING || length(&frame) > MOST_FRAME {
-            self.dropped.update(|n| n + 1);
-            return;
+        if !sender.try_send(frame) {
+            self.dropped_frames.update(|n| n + 1);
         }
-        line.waiting.update(|n| n + length(&frame));
-        let _ = line.frames.send(frame);
     }
 
-    /// Carries frames to one peer for good. What waits when a connection breaks is lost with it.
-    async fn carry(
-        self: Rc<Self>,
-        to: SocketAddr,
-        mut queue: mpsc::UnboundedReceiver<Frame>,
-        waiting: Rc<Cell<usize>>,
-    ) {
-        while let Some(first) = queue.recv().await {
-            waiting.update(|n| n.saturating_sub(length(&first)));
-            let broke = self.connected(to, first, &mut queue, &waiting).await;
-            if broke.is_err() {
-                // A little waits for a peer that comes back meanwhile, as an answer to its first word; not what is old or much.
-                while waiting.get() > MOST_KEPT
-                    && let Ok(lost) = queue.try_recv()
-                {
-                    waiting.update(|n| n.saturating_sub(length(&lost)));
-                }
-                let tell = self.broke.borrow().clone();
-                if let Some(tell) = tell {
-                    tell(to);
-                }
-                sleep(PAUSE).await;
-            }
-        }
+    /// Frames that were dropped since the process began because too much waited.
+    pub fn dropped_frames(&self) -> u64 {
+        self.dropped_frames.get()
     }
 
-    async fn connected(
-        &self,
-        to: SocketAddr,
-        first: Frame,
-        queue: &mut mpsc::UnboundedReceiver<Frame>,
-        waiting: &Cell<usize>,
-    ) -> io::Result<()> {
-        if !self.faults.may_send(to) {
-            sleep(DIAL).await;
-            return Err(io::ErrorKind::TimedOut.into());
-        }
-        let mut stream = timeout(DIAL, TcpStream::connect(to)).await??;
-        stream.set_nodelay(true)?;
-        SockRef::from(&stream).set_tcp_user_timeout(Some(SILENT))?;
-        let mut out = BytesMut::new();
-        out.put_slice(&MARK);
-        if let SocketAddr::V4(me) = self.me {
-            out.put_slice(&me.ip().octets());
-            out.put_u16_le(me.port());
-        }
-        let mut next = first;
-        loop {
-            // Small frames go together; a large tail goes as it is, without a copy.
-            put(&mut out, &next);
-            while next.1.len() < LARGE && out.len() < BATCH {
-                let Ok(more) = queue.try_recv() else { break };
-                next = more;
-                waiting.update(|n| n.saturating_sub(length(&next)));
-                put(&mut out, &next);
-            }
-            passable(|| self.faults.may_send(to)).await?;
-            let tail: &[u8] = if next.1.len() < LARGE { &[] } else { &next.1 };
-            self.sent.update(|n| n + (out.len() + tail.len()) as u64);
-            timeout(2 * SILENT, stream.write_all(&out)).await??;
-            if !tail.is_empty() {
-                timeout(4 * SILENT, stream.write_all(tail)).await??;
-            }
-            out.clear();
-            if out.capacity() > BATCH {
-                out = BytesMut::new();
-            }
-            let mut none = [0];
-            tokio::select! {
-                biased;
-                more = queue.recv() => {
-                    let Some(more) = more else { return Ok(()) };
-                    next = more;
-                    waiting.update(|n| n.saturating_sub(length(&next)));
-                }
-                // A peer says nothing here: what can be read is the end.
-                _ = stream.read(&mut none) => return Err(io::ErrorKind::ConnectionReset.into()),
-                () = self.faults.wait_for_reset() => return Err(io::ErrorKind::ConnectionReset.into()),
-                () = sleep(IDLE) => return Ok(()),
-            }
-        }
+    /// The metrics as (name, value).
+    pub(crate) fn metrics(&self) -> Vec<(String, f64)> {
+        vec![
+            ("peer_bytes_sent".to_owned(), self.sent_bytes.get() as f64),
+            ("peer_bytes_taken".to_owned(), self.received_bytes.get() as f64),
+            ("peer_frames_dropped".to_owned(), self.dropped_frames.get() as f64),
+        ]
     }
 
-    /// Takes connections of peers for good.
-    pub async fn listen(self: Rc<Self>, listener: TcpListener, taken: Taken) {
+    /// Accepts connections of peers, and never returns.
+    pub async fn listen(self: Rc<Self>, listener: TcpListener, handler: FrameHandler) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let (peers, taken) = (self.clone(), taken.clone());
+                    let (peers, handler) = (self.clone(), handler.clone());
                     spawn_local(async move {
-                        let _ = peers.take(stream, taken).await;
+                        let _ = peers.receive_frames(stream, handler).await;
                     });
                 }
-                Err(_) => sleep(PAUSE).await,
+                Err(_) => sleep(ACCEPT_BACKOFF).await,
             }
         }
     }
 
-    async fn take(&self, mut stream: TcpStream, taken: Taken) -> io::Result<()> {
+    /// Receives the frames of one connection until it ends.
+    async fn receive_frames(&self, mut stream: TcpStream, handler: FrameHandler) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let alive =
-            TcpKeepalive::new().with_time(Duration::from_secs(5)).with_interval(Duration::from_secs(1));
-        SockRef::from(&stream).set_tcp_keepalive(&alive.with_retries(3))?;
-        let mut hello = [0; HELLO];
-        timeout(SILENT, stream.read_exact(&mut hello)).await??;
-        if hello[..MARK.len()] != MARK {
-            return Err(io::ErrorKind::InvalidData.into());
-        }
-        let mut rest = &hello[MARK.len()..];
-        let ip = [rest.get_u8(), rest.get_u8(), rest.get_u8(), rest.get_u8()];
-        let from = SocketAddr::from((ip, rest.get_u16_le()));
+        let keepalive = TcpKeepalive::new()
+            .with_time(KEEPALIVE_TIME)
+            .with_interval(KEEPALIVE_INTERVAL)
+            .with_retries(KEEPALIVE_RETRIES);
+        SockRef::from(&stream).set_tcp_keepalive(&keepalive)?;
+        let mut preamble = [0; PREAMBLE_BYTES];
+        timeout(UNRESPONSIVE_TIMEOUT, stream.read_exact(&mut preamble)).await??;
+        let from = decode_preamble(&preamble)?;
         let mut buffer = BytesMut::new();
         loop {
-            while let Some(frame) = cut(&mut buffer)? {
-                taken(from, frame);
+            while let Some(payload) = decode_frame(&mut buffer)? {
+                handler(from, payload);
             }
-            buffer.reserve(4096);
+            buffer.reserve(READ_BYTES);
             let read = tokio::select! {
                 read = stream.read_buf(&mut buffer) => read?,
                 () = self.faults.wait_for_reset() => return Err(io::ErrorKind::ConnectionReset.into()),
             };
-            passable(|| self.faults.may_receive(from)).await?;
+            wait_while_isolated(|| self.faults.may_receive(from)).await?;
             if read == 0 {
                 return Ok(());
             }
-            self.taken.update(|n| n + read as u64);
+            self.received_bytes.update(|n| n + read as u64);
         }
     }
 }
 
-/// Waits while a drill cuts a peer off, as long as a connection lives without an acknowledgement.
-async fn passable(is_open: impl Fn() -> bool) -> io::Result<()> {
+/// Appends what a connection begins with.
+fn encode_preamble(local_address: SocketAddr, out: &mut BytesMut) {
+    out.put_slice(&MAGIC);
+    if let SocketAddr::V4(address) = local_address {
+        out.put_slice(&address.ip().octets());
+        out.put_u16_le(address.port());
+    }
+}
+
+/// The address where the sender of a connection listens for its peers.
+fn decode_preamble(preamble: &[u8; PREAMBLE_BYTES]) -> io::Result<SocketAddr> {
+    let Some(mut address) = preamble.strip_prefix(&MAGIC) else {
+        return Err(io::ErrorKind::InvalidData.into());
+    };
+    let ip = [address.get_u8(), address.get_u8(), address.get_u8(), address.get_u8()];
+    Ok(SocketAddr::from((ip, address.get_u16_le())))
+}
+
+/// Waits while a drill isolates a peer, for as long as a connection lives without an acknowledgement.
+async fn wait_while_isolated(is_open: impl Fn() -> bool) -> io::Result<()> {
     let mut waited = Duration::ZERO;
     while !is_open() {
-        if waited >= SILENT {
+        if waited >= UNRESPONSIVE_TIMEOUT {
             return Err(io::ErrorKind::TimedOut.into());
         }
         sleep(faults::POLL_INTERVAL).await;
@@ -249,46 +183,3 @@
     }
     Ok(())
 }
-
-fn check(head: &[u8], tail: &[u8]) -> u32 {
-    let mut sum = Xxh3Default::new();
-    sum.update(head);
-    sum.update(tail);
-    sum.digest() as u32
-}
-
-/// Writes a frame behind what is there; without its tail where that is large.
-pub fn put(to: &mut BytesMut, frame: &(Bytes, Bytes)) {
-    let (head, tail) = frame;
-    let copied = if tail.len() < LARGE { tail.len() } else { 0 };
-    to.reserve(HEAD + head.len() + copied);
-    to.put_u32_le((head.len() + tail.len()) as u32);
-    to.put_u32_le(check(head, tail));
-    to.put_slice(head);
-    to.put_slice(&tail[..copied]);
-}
-
-/// Takes the next whole frame off the front.
-///
-/// # Errors
-/// Where it is too long, or not what was sent.
-pub fn cut(from: &mut BytesMut) -> io::Result<Option<Bytes>> {
-    if from.len() < HEAD {
-        return Ok(None);
-    }
-    let mut head = &from[..HEAD];
-    let (length, sum) = (head.get_u32_le() as usize, head.get_u32_le());
-    if length > MOST_FRAME {
-        return Err(io::ErrorKind::InvalidData.into());
-    }
-    if from.len() < HEAD + length {
-        from.reserve(HEAD + length - from.len());
-        return Ok(None);
-    }
-    from.advance(HEAD);
-    let frame = from.split_to(length).freeze();
-    if check(&frame, &[]) != sum {
-        return Err(io::ErrorKind::InvalidData.into());
-    }
-    Ok(Some(frame))
-}
--- a/crates/tier/tests/disk.rs
+++ b/crates/tier/tests/disk.rs
@@ -1,9 +1,9 @@
-//! The process's disk: its identity and the logs of its parts.
+//! The process's disk: its identity and the logs of its shards.
 
 use std::fs;
 
 use bytes::Bytes;
-use rainlug_tier::disk::{Disk, Told};
+use rainlug_tier::disk::{Disk, WriterReport};
 use rainlug_wal::{Error, WriterEvent};
 use tokio::sync::mpsc;
 
@@ -16,12 +16,16 @@
     let (told, mut reports) = mpsc::unbounded_channel();
     let (mut disk, logs) = Disk::open(&dir, CAPACITY, 7, told).unwrap();
     assert_eq!((disk.id(), logs.len()), (7, 0));
-    disk.save(1, 1, vec![Bytes::from("a")]);
-    disk.save(1, 2, vec![Bytes::from("b")]);
+    disk.append(1, 1, vec![Bytes::from("a")]);
+    disk.append(1, 2, vec![Bytes::from("b")]);
     loop {
         match reports.blocking_recv() {
-            Some(Told { disk: 7, shard: 1, report: WriterEvent::Synced(done) }) if done.ticket == 2 => break,
-            Some(Told { disk: 7, shard: 1, report: WriterEvent::Synced(_) }) => {}
+            Some(WriterReport { disk: 7, shard: 1, event: WriterEvent::Synced(done) })
+                if done.ticket == 2 =>
+            {
+                break;
+            }
+            Some(WriterReport { disk: 7, shard: 1, event: WriterEvent::Synced(_) }) => {}
             other => panic!("{other:?}"),
         }
     }
@@ -59,12 +63,12 @@
     let dir = tempfile::tempdir().unwrap();
     let (told, mut reports) = mpsc::unbounded_channel();
     let (mut disk, _) = Disk::open(dir.path(), CAPACITY, 7, told).unwrap();
-    disk.save(1, 5, vec![Bytes::from("earlier")]);
-    assert!(matches!(reports.blocking_recv(), Some(Told { disk: 7, .. })));
-    disk.renew(8).unwrap();
+    disk.append(1, 5, vec![Bytes::from("earlier")]);
+    assert!(matches!(reports.blocking_recv(), Some(WriterReport { disk: 7, .. })));
+    disk.renew_identity(8).unwrap();
     assert_eq!(disk.id(), 8);
-    disk.save(1, 1, vec![Bytes::from("later")]);
-    assert!(matches!(reports.blocking_recv(), Some(Told { disk: 8, shard: 1, .. })));
+    disk.append(1, 1, vec![Bytes::from("later")]);
+    assert!(matches!(reports.blocking_recv(), Some(WriterReport { disk: 8, shard: 1, .. })));
     drop(disk);
     let (told, _reports) = mpsc::unbounded_channel();
     let (disk, logs) = Disk::open(dir.path(), CAPACITY, 9, told).unwrap();
@@ -73,17 +77,17 @@
 }
 
 #[test]
-fn a_disk_that_gets_another_identity_has_all_its_room_again() {
+fn a_disk_that_gets_another_identity_has_all_its_space_again() {
     let dir = tempfile::tempdir().unwrap();
     let (told, mut reports) = mpsc::unbounded_channel();
     let (mut disk, _) = Disk::open(dir.path(), CAPACITY, 7, told).unwrap();
-    disk.save(1, 1, vec![Bytes::from(vec![1; 1000])]);
-    assert!(matches!(reports.blocking_recv(), Some(Told { disk: 7, .. })));
-    let room = disk.room().clone();
-    assert!(room.free() <= CAPACITY - 1000);
-    disk.renew(8).unwrap();
+    disk.append(1, 1, vec![Bytes::from(vec![1; 1000])]);
+    assert!(matches!(reports.blocking_recv(), Some(WriterReport { disk: 7, .. })));
+    let space = disk.space().clone();
+    assert!(space.free() <= CAPACITY - 1000);
+    disk.renew_identity(8).unwrap();
     drop(disk);
     while reports.blocking_recv().is_some() {}
-    assert_eq!(room.free(), CAPACITY, "once the earlier log's thread has ended");
+    assert_eq!(space.free(), CAPACITY, "once the earlier log's thread has ended");
     assert!(!dir.path().join("part-1").exists());
 }
--- a/crates/tier/tests/faults.rs
+++ b/crates/tier/tests/faults.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use rainlug_tier::faults::Faults;
-use rainlug_tier::peers::Peers;
+use rainlug_tier::peers::{Frame, Peers};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::task::{LocalSet, spawn_local};
@@ -38,7 +38,7 @@
 }
 
 fn send(peers: &Rc<Peers>, to: SocketAddr, text: &'static str) {
-    peers.send(to, Bytes::from_static(text.as_bytes()), Bytes::new());
+    peers.send(to, Frame { head: Bytes::from_static(text.as_bytes()), tail: Bytes::new() });
 }
 
 #[test]
@@ -60,15 +60,15 @@
         let (peers, to, hears, mut told) = pair().await;
         send(&peers, to, "first");
         assert_eq!(told.recv().await.unwrap(), "first");
-        peers.faults.apply(&format!("to {to}"));
+        peers.faults().apply(&format!("to {to}"));
         send(&peers, to, "second");
         assert!(timeout(QUIET, told.recv()).await.is_err());
-        peers.faults.apply("");
+        peers.faults().apply("");
         assert_eq!(told.recv().await.unwrap(), "second");
-        hears.faults.apply(&format!("from {}", me()));
+        hears.faults().apply(&format!("from {}", me()));
         send(&peers, to, "third");
         assert!(timeout(QUIET, told.recv()).await.is_err());
-        hears.faults.apply("");
+        hears.faults().apply("");
         assert_eq!(told.recv().await.unwrap(), "third");
     });
 }
@@ -78,19 +78,19 @@
     run(async {
         let (peers, to, _hears, mut told) = pair().await;
         let (broke, mut broken) = mpsc::unbounded_channel();
-        peers.when_broke(Rc::new(move |at| {
+        peers.on_unreachable(Rc::new(move |at| {
             let _ = broke.send(at);
         }));
         send(&peers, to, "first");
         assert_eq!(told.recv().await.unwrap(), "first");
-        peers.faults.apply(&format!("reset 0\nto {to}"));
+        peers.faults().apply(&format!("reset 0\nto {to}"));
         send(&peers, to, "second");
         assert_eq!(broken.recv().await.unwrap(), to, "after the time without an acknowledgement");
-        peers.faults.apply("reset 0");
+        peers.faults().apply("reset 0");
         sleep(QUIET).await;
         send(&peers, to, "third");
         assert_eq!(told.recv().await.unwrap(), "third", "what was on its way is lost");
-        peers.faults.apply("reset 1");
+        peers.faults().apply("reset 1");
         assert_eq!(broken.recv().await.unwrap(), to);
         send(&peers, to, "fourth");
         assert_eq!(told.recv().await.unwrap(), "fourth");
--- a/crates/tier/tests/peers.rs
+++ b/crates/tier/tests/peers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::{BufMut, Bytes, BytesMut};
-use rainlug_tier::peers::{Peers, cut};
+use rainlug_tier::peers::{Frame, Peers, decode_frame};
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
@@ -21,17 +21,17 @@
     LocalSet::new().block_on(&runtime, async { timeout(Duration::from_secs(15), test).await.unwrap() });
 }
 
-fn frame(number: u64) -> (Bytes, Bytes) {
+fn frame(number: u64) -> Frame {
     let mut head = BytesMut::new();
     head.put_u64_le(number);
     let size = SIZES[number as usize % SIZES.len()];
-    (head.freeze(), Bytes::from(vec![number as u8; size]))
+    Frame { head: head.freeze(), tail: Bytes::from(vec![number as u8; size]) }
 }
 
 /// The number of a frame that is whole and as it was sent.
 fn number_of(bytes: &[u8]) -> u64 {
     let number = u64::from_le_bytes(bytes[..8].try_into().unwrap());
-    let (head, tail) = frame(number);
+    let Frame { head, tail } = frame(number);
     assert_eq!(bytes, [&head[..], &tail[..]].concat(), "{number}");
     number
 }
@@ -48,7 +48,7 @@
     stream.set_zero_linger().unwrap();
     let mut frames = buffer.split_off(HELLO);
     let mut numbers = Vec::new();
-    while let Some(bytes) = cut(&mut frames).unwrap() {
+    while let Some(bytes) = decode_frame(&mut frames).unwrap() {
         numbers.push(number_of(&bytes));
     }
     numbers
@@ -64,8 +64,7 @@
         let sender = peers.clone();
         spawn_local(async move {
             for number in 0.. {
-                let (head, tail) = frame(number);
-                sender.send(to, head, tail);
+                sender.send(to, frame(number));
                 sleep(Duration::from_millis(1)).await;
             }
         });
@@ -92,8 +91,7 @@
         spawn_local(Peers::new(to).listen(listener, taken));
         let peers = Peers::new(me);
         for number in 0..4 {
-            let (head, tail) = frame(number);
-            peers.send(to, head, tail);
+            peers.send(to, frame(number));
         }
         for number in 0..4 {
             assert_eq!(told.recv().await.unwrap(), (me, number));
@@ -116,11 +114,11 @@
         ));
         let sends = Peers::new("127.0.0.1:1".parse().unwrap());
         for length in [100_000, LONGEST - 8, 100_000] {
-            sends.send(to, Bytes::from_static(&[0; 8]), Bytes::from(vec![1; length]));
+            sends.send(to, Frame { head: Bytes::from_static(&[0; 8]), tail: Bytes::from(vec![1; length]) });
         }
         while lengths.borrow().len() < 3 {
             sleep(Duration::from_millis(5)).await;
-            assert_eq!(sends.dropped.get(), 0);
+            assert_eq!(sends.dropped_frames(), 0);
         }
         assert_eq!(*lengths.borrow(), [100_008, LONGEST, 100_008]);
     });
