--- a/crates/tier/src/listings.rs
+++ b/crates/tier/src/listings.rs
@@ -15,13 +15,13 @@
 
 /// One list: its path, its lines, and the columns of a line as text.
 pub trait Listing: Sized + SerJson + DeJson + 'static {
-    type Line;
+    type Row;
     const PATH: &'static str;
     const COLUMNS: &'static [&'static str];
 
     fn of(coordinator: &Coordinator) -> Self;
-    fn lines(&self) -> &[Self::Line];
-    fn cells(line: &Self::Line) -> Vec<String>;
+    fn rows(&self) -> &[Self::Row];
+    fn cells(line: &Self::Row) -> Vec<String>;
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, SerJson, DeJson)]
@@ -94,7 +94,7 @@
 }
 
 impl Listing for Members {
-    type Line = Member;
+    type Row = Member;
     const PATH: &'static str = "/v1/members";
     const COLUMNS: &'static [&'static str] = &["NAME", "ROLE", "ZONE", "STANDING", "FOR", "PEERS", "CONTROL"];
 
@@ -111,7 +111,7 @@
         Members { members: coordinator.list_members().into_iter().map(member).collect() }
     }
 
-    fn lines(&self) -> &[Member] {
+    fn rows(&self) -> &[Member] {
         &self.members
     }
 
@@ -131,7 +131,7 @@
 }
 
 impl Listing for Workers {
-    type Line = Worker;
+    type Row = Worker;
     const PATH: &'static str = "/v1/workers";
     const COLUMNS: &'static [&'static str] = &["ID", "SERVICE", "ZONE", "ADDRESS", "PHASE", "SLOTS", "CALLS"];
 
@@ -148,7 +148,7 @@
         Workers { workers: coordinator.list_workers().into_iter().map(worker).collect() }
     }
 
-    fn lines(&self) -> &[Worker] {
+    fn rows(&self) -> &[Worker] {
         &self.workers
     }
 
@@ -160,7 +160,7 @@
 }
 
 impl Listing for Stores {
-    type Line = Store;
+    type Row = Store;
     const PATH: &'static str = "/v1/stores";
     const COLUMNS: &'static [&'static str] = &["NAME", "ZONE", "PEERS", "STANDING", "RETIRING", "PARTS"];
 
@@ -176,7 +176,7 @@
         Stores { stores: coordinator.list_stores().into_iter().map(store).collect() }
     }
 
-    fn lines(&self) -> &[Store] {
+    fn rows(&self) -> &[Store] {
         &self.stores
     }
 
@@ -189,7 +189,7 @@
 }
 
 impl Listing for Parts {
-    type Line = Part;
+    type Row = Part;
     const PATH: &'static str = "/v1/parts";
     const COLUMNS: &'static [&'static str] = &["PART", "HOLDS", "LEADER", "TERM", "MEMBERS"];
 
@@ -204,7 +204,7 @@
         Parts { parts: coordinator.list_shards().into_iter().map(part).collect() }
     }
 
-    fn lines(&self) -> &[Part] {
+    fn rows(&self) -> &[Part] {
         &self.parts
     }
 
--- a/crates/tier/src/local.rs
+++ b/crates/tier/src/local.rs
@@ -19,7 +19,7 @@
 use toml::{Table, Value};
 
 use crate::listings::Workers;
-use crate::operator::table;
+use crate::operator::format_table;
 
 /// What is put first, and a batch job for it.
 pub const CONFIGURATION: &str = include_str!("../../../deploy/local/configuration.json");
@@ -464,7 +464,7 @@
             let Ok(told) = client::call(at, Ask::get("/v1/workers"), Duration::from_secs(1)).await else {
                 return false;
             };
-            crate::operator::read::<Workers>(&told.body, "workers").is_ok_and(|w| {
+            crate::operator::parse_json::<Workers>(&told.body, "workers").is_ok_and(|w| {
                 w.workers.iter().filter(|w| w.phase == "ready").count() >= usize::from(plan.workers)
             })
         })
@@ -542,7 +542,7 @@
 Kill any process by the number above; it is started again after {} s. Logs: {}
 Ctrl-C ends all of it.
 ",
-            table(&["NAME", "ZONE", "PROCESS", "SERVES", "CONTROL"], &rows),
+            format_table(&["NAME", "ZONE", "PROCESS", "SERVES", "CONTROL"], &rows),
             AGAIN.as_secs(),
             plan.dir.join("logs").display(),
         )
--- a/crates/tier/src/main.rs
+++ b/crates/tier/src/main.rs
@@ -8,7 +8,7 @@
 use rainlug_tier::check;
 use rainlug_tier::listings::{Members, Parts, Stores, Workers};
 use rainlug_tier::local::{self, Plan, plan};
-use rainlug_tier::operator::{self, Retire};
+use rainlug_tier::operator::{self, Retirement};
 use rainlug_tier::process::ProcessRole;
 use rainlug_tier::roles::{
     self, ServeOptions, WorkerOptions, exit_with_error, serve_options, worker_options,
@@ -135,7 +135,7 @@
             let _ = std::io::stdout().write_all(text.as_bytes());
             ExitCode::SUCCESS
         }
-        Err(error) => exit_with_error(error.code(), &error),
+        Err(error) => exit_with_error(error.exit_code(), &error),
     }
 }
 
@@ -153,20 +153,20 @@
         Rainlug::Workers(a) => show(operator::list::<Workers>(&a.at, a.json)),
         Rainlug::Parts(a) => show(operator::list::<Parts>(&a.at, a.json)),
         Rainlug::Stores(a) => show(operator::list::<Stores>(&a.at, a.json)),
-        Rainlug::Figures(a) => show(operator::figures(&a.at, a.json)),
-        Rainlug::Configuration(Operation::Get(a)) => show(operator::configuration(&a.at)),
+        Rainlug::Figures(a) => show(operator::read_metrics(&a.at, a.json)),
+        Rainlug::Configuration(Operation::Get(a)) => show(operator::get_configuration(&a.at)),
         Rainlug::Configuration(Operation::Put { asked: a, if_match, file }) => {
-            show(operator::put(&a.at, &file, if_match, a.json))
+            show(operator::put_configuration(&a.at, &file, if_match, a.json))
         }
         Rainlug::Configuration(Operation::Diff { asked: a, file }) => {
-            show(operator::diff(&a.at, &file, a.json))
+            show(operator::diff_configuration(&a.at, &file, a.json))
         }
         Rainlug::Retire { asked: a, over_s, watch, wait_s, store } => {
-            let retire = Retire { store, over_s, watch: watch.then(|| Duration::from_secs(wait_s)) };
-            show(operator::retire(&a.at, &retire, a.json))
+            let retirement = Retirement { store, over_s, watch: watch.then(|| Duration::from_secs(wait_s)) };
+            show(operator::retire_store(&a.at, &retirement, a.json))
         }
         Rainlug::Lot { asked: a, host, wait_s, id } => {
-            show(operator::lot(&a.at, &host, &id, Duration::from_secs(wait_s), a.json))
+            show(operator::read_job_results(&a.at, &host, &id, Duration::from_secs(wait_s), a.json))
         }
     }
 }
--- a/crates/tier/tests/operator.rs
+++ b/crates/tier/tests/operator.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use rainlug_registry::Configuration;
 use rainlug_tier::local::CONFIGURATION;
-use rainlug_tier::operator::{difference, table};
+use rainlug_tier::operator::{difference, format_table};
 
 fn rainlug(arguments: &[&str]) -> (Option<i32>, String, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_rainlug")).args(arguments).output().unwrap();
@@ -114,5 +114,5 @@
 #[test]
 fn tables_have_columns_as_wide_as_their_widest_cell() {
     let rows = [vec!["gateway-1".to_owned(), "a".to_owned()], vec!["x".to_owned(), "bb".to_owned()]];
-    assert_eq!(table(&["NAME", "B"], &rows), "NAME       B\ngateway-1  a\nx          bb\n");
+    assert_eq!(format_table(&["NAME", "B"], &rows), "NAME       B\ngateway-1  a\nx          bb\n");
 }
