--- a/crates/registry/src/json.rs
+++ b/crates/registry/src/json.rs
@@ -1,19 +1,24 @@
-//! JSON read into values, so that all findings of a text can be told with their places. Tokens are nanoserde's; its own skipping of
-//! unknown fields panics or hangs on broken input and is not used.
+//! JSON parsed into values, so that all findings in a document can be reported with their paths. Tokens are nanoserde's; its own
+//! derived parsers are not used: skipping unknown fields, they panic or hang on malformed input.
+
+use std::str::Chars;
 
 use nanoserde::{DeJsonErr, DeJsonState, DeJsonTok};
 
 use crate::Findings;
 
-/// How deep values may nest, and how many there may be in one text.
-const DEPTH: usize = 64;
-const VALUES: usize = 1 << 18;
+/// How deep values may nest, and how many there may be in one document.
+const MAX_DEPTH: usize = 64;
+const MAX_VALUES: usize = 1 << 18;
 
+/// A JSON value.
 #[derive(Debug)]
 pub enum Value {
     Null,
     Bool(bool),
-    Whole(u64),
+    /// A number written without sign, fraction and exponent.
+    Integer(u64),
+    /// Any other number.
     Number(f64),
     String(String),
     List(Vec<Value>),
@@ -21,28 +26,31 @@
 }
 
 impl Value {
-    pub fn read(text: &[u8]) -> Result<Self, Findings> {
-        let fail = |what: String| Findings::of_document(format!("JSON expected: {what}"));
-        let text = std::str::from_utf8(text).map_err(|e| fail(e.to_string()))?;
-        // nanoserde takes comments, by recursion, and reads a zero byte as the end.
-        if let Some(at) = foreign(text.as_bytes()) {
+    /// Parses a document.
+    ///
+    /// # Errors
+    /// A single finding about the document itself, where it is not JSON, or nests too deep or has too many values.
+    pub fn parse(document: &[u8]) -> Result<Self, Findings> {
+        let fail = |reason: String| Findings::of_document(format!("JSON expected: {reason}"));
+        let text = std::str::from_utf8(document).map_err(|error| fail(error.to_string()))?;
+        if let Some(at) = unsupported_byte(text.as_bytes()) {
             return Err(fail(format!("unexpected character at byte {at}")));
         }
-        let (mut state, mut chars) = (DeJsonState::default(), text.chars());
-        state.next(&mut chars);
-        let mut left = VALUES;
-        let mut whole = || {
-            state.next_tok(&mut chars)?;
-            let value = value(&mut state, &mut chars, DEPTH, &mut left)?;
-            match state.tok {
-                DeJsonTok::Eof => Ok(value),
-                _ => Err(state.err_token("the end")),
-            }
-        };
-        whole().map_err(|e: DeJsonErr| fail(e.to_string()))
+        Parser::new(text).document().map_err(|error| fail(error.to_string()))
     }
 
-    /// The field of an object; none where it is absent or null.
+    /// Parses a document that has to be an object.
+    ///
+    /// # Errors
+    /// As [`Value::parse`], or where it is something else.
+    pub fn parse_object(document: &[u8]) -> Result<Self, Findings> {
+        match Self::parse(document)? {
+            object @ Self::Object(_) => Ok(object),
+            _ => Err(Findings::of_document("an object expected".to_owned())),
+        }
+    }
+
+    /// A field of an object, the last one of its name; none where it is absent or null.
     pub fn field(&self, name: &str) -> Option<&Self> {
         match self {
             Self::Object(fields) => fields
@@ -56,159 +64,192 @@
     }
 }
 
-/// The first byte outside of strings that JSON doesn't know but nanoserde does.
-fn foreign(text: &[u8]) -> Option<usize> {
-    let (mut inside, mut escaped) = (false, false);
+/// The first byte that is not JSON and that nanoserde would take: a comment, which it skips by recursion, or a zero byte, which it
+/// takes for the end.
+fn unsupported_byte(text: &[u8]) -> Option<usize> {
+    let (mut is_in_string, mut is_escaped) = (false, false);
     for (at, byte) in text.iter().enumerate() {
         match byte {
             0 => return Some(at),
-            _ if escaped => escaped = false,
-            b'\\' if inside => escaped = true,
-            b'"' => inside = !inside,
-            b'/' if !inside => return Some(at),
+            _ if is_escaped => is_escaped = false,
+            b'\\' if is_in_string => is_escaped = true,
+            b'"' => is_in_string = !is_in_string,
+            b'/' if !is_in_string => return Some(at),
             _ => {}
         }
     }
     None
 }
 
-fn value(
-    state: &mut DeJsonState,
-    chars: &mut std::str::Chars,
-    depth: usize,
-    left: &mut usize,
-) -> Result<Value, DeJsonErr> {
-    if depth == 0 || *left == 0 {
-        return Err(state.err_range("too many values, or nested too deep"));
-    }
-    *left -= 1;
-    let read = match state.tok {
-        DeJsonTok::Null => Value::Null,
-        DeJsonTok::Bool(b) => Value::Bool(b),
-        DeJsonTok::U64(n) => Value::Whole(n),
-        DeJsonTok::I64(n) => Value::Number(n as f64),
-        DeJsonTok::F64(n) => Value::Number(n),
-        DeJsonTok::Str => Value::String(state.as_string()?),
-        DeJsonTok::BlockOpen => {
-            state.next_tok(chars)?;
-            let mut list = Vec::new();
-            while state.tok != DeJsonTok::BlockClose {
-                list.push(value(state, chars, depth - 1, left)?);
-                state.eat_comma_block(chars)?;
-            }
-            Value::List(list)
+/// A recursive-descent parser over nanoserde's tokens.
+struct Parser<'a> {
+    state: DeJsonState,
+    chars: Chars<'a>,
+    /// How many more values the document may have.
+    values_left: usize,
+}
+
+impl<'a> Parser<'a> {
+    fn new(text: &'a str) -> Self {
+        let (mut state, mut chars) = (DeJsonState::default(), text.chars());
+        state.next(&mut chars);
+        Parser { state, chars, values_left: MAX_VALUES }
+    }
+
+    /// The document's value, behind which nothing may stand.
+    fn document(&mut self) -> Result<Value, DeJsonErr> {
+        self.state.next_tok(&mut self.chars)?;
+        let value = self.value(MAX_DEPTH)?;
+        match self.state.tok {
+            DeJsonTok::Eof => Ok(value),
+            _ => Err(self.state.err_token("the end")),
+        }
+    }
+
+    /// The value that begins with the current token, and the token behind it. `depth` is how deep it may nest.
+    fn value(&mut self, depth: usize) -> Result<Value, DeJsonErr> {
+        if depth == 0 || self.values_left == 0 {
+            return Err(self.state.err_range("too many values, or nested too deep"));
         }
-        DeJsonTok::CurlyOpen => {
-            state.next_tok(chars)?;
-            let mut fields = Vec::new();
-            while state.tok != DeJsonTok::CurlyClose {
-                let name = state.as_string()?;
-                state.next_colon(chars)?;
-                fields.push((name, value(state, chars, depth - 1, left)?));
-                state.eat_comma_curly(chars)?;
-            }
-            Value::Object(fields)
+        self.values_left -= 1;
+        let value = match self.state.tok {
+            DeJsonTok::Null => Value::Null,
+            DeJsonTok::Bool(b) => Value::Bool(b),
+            DeJsonTok::U64(n) => Value::Integer(n),
+            DeJsonTok::I64(n) => Value::Number(n as f64),
+            DeJsonTok::F64(n) => Value::Number(n),
+            DeJsonTok::Str => Value::String(self.state.as_string()?),
+            DeJsonTok::BlockOpen => self.list(depth - 1)?,
+            DeJsonTok::CurlyOpen => self.object(depth - 1)?,
+            _ => return Err(self.state.err_token("a value")),
+        };
+        self.state.next_tok(&mut self.chars)?;
+        Ok(value)
+    }
+
+    fn list(&mut self, depth: usize) -> Result<Value, DeJsonErr> {
+        self.state.next_tok(&mut self.chars)?;
+        let mut list = Vec::new();
+        while self.state.tok != DeJsonTok::BlockClose {
+            list.push(self.value(depth)?);
+            self.state.eat_comma_block(&mut self.chars)?;
+        }
+        Ok(Value::List(list))
+    }
+
+    fn object(&mut self, depth: usize) -> Result<Value, DeJsonErr> {
+        self.state.next_tok(&mut self.chars)?;
+        let mut fields = Vec::new();
+        while self.state.tok != DeJsonTok::CurlyClose {
+            let name = self.state.as_string()?;
+            self.state.next_colon(&mut self.chars)?;
+            fields.push((name, self.value(depth)?));
+            self.state.eat_comma_curly(&mut self.chars)?;
         }
-        _ => return Err(state.err_token("a value")),
-    };
-    state.next_tok(chars)?;
-    Ok(read)
+        Ok(Value::Object(fields))
+    }
 }
 
-/// Reads fields of one object and notes what is wrong with them.
-pub struct Reader<'a, 'f> {
-    pub object: &'a Value,
-    /// The object's place, without a closing slash.
-    pub place: String,
-    pub findings: &'f mut Findings,
+/// Reads the fields of one object, and notes what is wrong with them. A field that is wrong reads as if it were absent.
+pub struct ObjectReader<'a, 'f> {
+    object: &'a Value,
+    /// The object's path, without a closing slash.
+    path: String,
+    findings: &'f mut Findings,
 }
 
-impl<'a> Reader<'a, '_> {
-    pub fn wrong(&mut self, field: &str, expected: &str) {
-        self.findings.push(format!("{}/{field}", self.place), expected.to_owned());
+impl<'a, 'f> ObjectReader<'a, 'f> {
+    /// A reader of the document's own object.
+    pub fn of_document(object: &'a Value, findings: &'f mut Findings) -> Self {
+        ObjectReader { object, path: String::new(), findings }
     }
 
-    pub fn text(&mut self, field: &str) -> Option<String> {
-        match self.object.field(field) {
-            None => None,
-            Some(Value::String(text)) => Some(text.clone()),
-            Some(_) => {
-                self.wrong(field, "a string expected");
-                None
-            }
-        }
+    /// Reads an object at a path below this one, which is relative to it and has no leading slash.
+    pub fn nested<'n>(&mut self, path: &str, object: &'n Value) -> ObjectReader<'n, '_> {
+        ObjectReader { object, path: format!("{}/{path}", self.path), findings: &mut *self.findings }
     }
 
-    /// A string that must be there.
-    pub fn need(&mut self, field: &str) -> Option<String> {
-        if self.object.field(field).is_none() {
-            self.wrong(field, "a string expected, none is there");
+    /// Notes that something else was expected in a field.
+    pub fn add_finding(&mut self, field: &str, expected: impl Into<String>) {
+        self.findings.push(format!("{}/{field}", self.path), expected.into());
+    }
+
+    /// Whether a field is there, whatever it holds but null.
+    pub fn has(&self, field: &str) -> bool {
+        self.object.field(field).is_some()
+    }
+
+    /// The object in a field, whatever it holds but null.
+    pub fn value(&self, field: &str) -> Option<&'a Value> {
+        let object = self.object;
+        object.field(field)
+    }
+
+    pub fn string(&mut self, field: &str) -> Option<String> {
+        match self.object.field(field)? {
+            Value::String(text) => Some(text.clone()),
+            _ => self.reject(field, "a string expected"),
         }
-        self.text(field)
+    }
+
+    /// A string that has to be there.
+    pub fn required_string(&mut self, field: &str) -> Option<String> {
+        self.require(field, "a string expected, none is there");
+        self.string(field)
     }
 
     pub fn number(&mut self, field: &str) -> Option<f64> {
-        match self.object.field(field) {
-            None => None,
-            Some(Value::Whole(n)) => Some(*n as f64),
-            Some(Value::Number(n)) if n.is_finite() => Some(*n),
-            Some(_) => {
-                self.wrong(field, "a number expected");
-                None
-            }
+        match self.object.field(field)? {
+            Value::Integer(n) => Some(*n as f64),
+            Value::Number(n) if n.is_finite() => Some(*n),
+            _ => self.reject(field, "a number expected"),
         }
     }
 
     /// A number that is not negative, rounded.
-    pub fn whole(&mut self, field: &str) -> Option<u64> {
-        match self.object.field(field) {
-            None => None,
-            Some(Value::Whole(n)) => Some(*n),
-            Some(Value::Number(n)) if *n >= 0.0 && n.is_finite() => Some(n.round() as u64),
-            Some(_) => {
-                self.wrong(field, "a number that is not negative expected");
-                None
-            }
+    pub fn integer(&mut self, field: &str) -> Option<u64> {
+        match self.object.field(field)? {
+            Value::Integer(n) => Some(*n),
+            Value::Number(n) if *n >= 0.0 && n.is_finite() => Some(n.round() as u64),
+            _ => self.reject(field, "a number that is not negative expected"),
         }
     }
 
+    /// A number that is not negative, rounded, below 2^32.
     pub fn integer_u32(&mut self, field: &str) -> Option<u32> {
-        let n = self.whole(field)?;
-        let fits = u32::try_from(n).ok();
-        if fits.is_none() {
-            self.wrong(field, "a number below 2^32 expected");
-        }
-        fits
+        let n = self.integer(field)?;
+        u32::try_from(n).ok().or_else(|| self.reject(field, "a number below 2^32 expected"))
     }
 
-    pub fn flag(&mut self, field: &str) -> Option<bool> {
-        match self.object.field(field) {
-            None => None,
-            Some(Value::Bool(b)) => Some(*b),
-            Some(_) => {
-                self.wrong(field, "true or false expected");
-                None
-            }
+    pub fn bool(&mut self, field: &str) -> Option<bool> {
+        match self.object.field(field)? {
+            Value::Bool(b) => Some(*b),
+            _ => self.reject(field, "true or false expected"),
         }
     }
 
-    /// A list that must be there.
-    pub fn need_list(&mut self, field: &str) -> &'a [Value] {
-        if self.object.field(field).is_none() {
-            self.wrong(field, "a list expected, none is there");
+    pub fn list(&mut self, field: &str) -> Option<&'a [Value]> {
+        let object = self.object;
+        match object.field(field)? {
+            Value::List(list) => Some(list),
+            _ => self.reject(field, "a list expected"),
         }
+    }
+
+    /// A list that has to be there; an empty one where it is not.
+    pub fn required_list(&mut self, field: &str) -> &'a [Value] {
+        self.require(field, "a list expected, none is there");
         self.list(field).unwrap_or_default()
     }
 
-    pub fn list(&mut self, field: &str) -> Option<&'a [Value]> {
-        let object = self.object;
-        match object.field(field) {
-            None => None,
-            Some(Value::List(list)) => Some(list),
-            Some(_) => {
-                self.wrong(field, "a list expected");
-                None
-            }
+    fn require(&mut self, field: &str, expected: &str) {
+        if !self.has(field) {
+            self.add_finding(field, expected);
         }
     }
+
+    fn reject<T>(&mut self, field: &str, expected: &str) -> Option<T> {
+        self.add_finding(field, expected);
+        None
+    }
 }
--- a/crates/registry/src/worker.rs
+++ b/crates/registry/src/worker.rs
@@ -1,42 +1,51 @@
-//! A worker as it tells of itself.
+//! A worker as it registers itself.
 
 use std::net::SocketAddr;
 
 use crate::Findings;
-use crate::json::{Reader, Value};
+use crate::json::{ObjectReader, Value};
 
 /// The most bytes that an id, or the name of a service or zone, may have.
 pub const MAX_NAME_BYTES: usize = 256;
 
-/// Where a worker is in its life. Only ever goes on, but from `Silent` back to `Ready` or `Draining` by its next beat.
+/// Where a worker is in its life. It only ever advances, but for [`Unresponsive`](Phase::Unresponsive), from which its next
+/// heartbeat returns it to [`Ready`](Phase::Ready). The numbers are on the wire, and later phases compare as greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
+    /// It takes requests.
     #[default]
     Ready,
-    /// Several beats have not come.
+    /// Several of its heartbeats are missing.
     Unresponsive,
+    /// It finishes what it has and takes no more requests (graceful shutdown).
     Draining,
-    /// Said goodbye.
+    /// It has deregistered.
     Gone,
 }
 
 /// One process of a worker. Its `id` is never used again; its address may be, by another service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Worker {
+    /// What it calls itself, unique in time and space.
     pub id: String,
+    /// The service that it serves, by the name in the [`Configuration`](crate::Configuration).
     pub service: String,
+    /// Where it takes requests.
     pub address: SocketAddr,
+    /// Its failure domain; empty where it did not say.
     pub zone: String,
+    /// Requests that it runs at once; 0 where it did not say.
     pub slots: u32,
+    /// Where it is in its life.
     pub phase: Phase,
-    /// How much longer it stays slow from its start, in milliseconds, as of the beat.
+    /// How much longer it stays slow after its start (slow start), in milliseconds from its heartbeat.
     pub warm_up_left_ms: u32,
-    /// Goes up with every call: of two tales the higher is newer.
+    /// Increases with each of its calls: of two states of a worker the one with the higher number is newer.
     pub call_seq: u64,
 }
 
 impl Worker {
-    /// That a worker is gone of which nothing else is known here.
+    /// The tombstone of a worker of which nothing but its end is known.
     pub fn tombstone(id: String) -> Self {
         Self {
             id,
@@ -50,51 +59,40 @@
         }
     }
 
-    /// Whether only its end is known.
+    /// Whether nothing but its end is known.
     pub fn is_tombstone(&self) -> bool {
         self.phase == Phase::Gone && self.service.is_empty()
     }
 
-    /// Reads the body of a beat, `PUT /v1/workers/ID`. Unknown fields are ignored.
+    /// Parses the body of a heartbeat, `PUT /v1/workers/ID`. Unknown fields are ignored.
     ///
     /// # Errors
-    /// What is wrong with it, with its place (that of the id is `/id`).
+    /// All that is wrong with it; the path of the id is `/id`.
     pub fn parse(id: &str, body: &[u8]) -> Result<Self, Findings> {
-        let whole = Value::read(body)?;
-        if !matches!(whole, Value::Object(_)) {
-            return Err(Findings::of_document("an object expected".to_owned()));
-        }
+        let body = Value::parse_object(body)?;
         let mut findings = Findings::default();
-        let mut from = Reader { object: &whole, place: String::new(), findings: &mut findings };
+        let mut fields = ObjectReader::of_document(&body, &mut findings);
         if id.is_empty() {
-            from.wrong("id", "an id expected");
+            fields.add_finding("id", "an id expected");
         }
-        let service = from.need("service").unwrap_or_default();
-        let zone = from.text("zone").unwrap_or_default();
-        for (field, text) in [("id", id), ("service", &service), ("zone", &zone)] {
-            if text.len() > MAX_NAME_BYTES {
-                from.wrong(field, "at most 256 bytes expected");
+        let service = fields.required_string("service").unwrap_or_default();
+        let zone = fields.string("zone").unwrap_or_default();
+        for (field, name) in [("id", id), ("service", &service), ("zone", &zone)] {
+            if name.len() > MAX_NAME_BYTES {
+                fields.add_finding(field, "at most 256 bytes expected");
             }
         }
-        let address = from.need("address").map(|text| text.parse());
+        let address = fields.required_string("address").map(|address| address.parse());
         if let Some(Err(_)) = address {
-            from.wrong("address", "IP:PORT expected");
+            fields.add_finding("address", "IP:PORT expected");
         }
-        let phase = match from.need("state").as_deref() {
-            Some("draining") => Phase::Draining,
-            Some("ready") => Phase::Ready,
-            Some(_) => {
-                from.wrong("state", "ready or draining expected");
-                Phase::Ready
-            }
-            None => Phase::Ready,
-        };
-        let slots = from.integer_u32("slots").unwrap_or(0);
+        let phase = parse_phase(&mut fields);
+        let slots = fields.integer_u32("slots").unwrap_or(0);
         let warm_up_left_ms =
-            from.whole("cold_left_ms").map_or(0, |ms| u32::try_from(ms).unwrap_or(u32::MAX));
-        let call_seq = from.whole("call_seq").unwrap_or(0);
+            fields.integer("cold_left_ms").map_or(0, |ms| u32::try_from(ms).unwrap_or(u32::MAX));
+        let call_seq = fields.integer("call_seq").unwrap_or(0);
         match address {
-            Some(Ok(address)) if findings.0.is_empty() => Ok(Self {
+            Some(Ok(address)) if findings.is_empty() => Ok(Self {
                 id: id.to_owned(),
                 service,
                 address,
@@ -108,3 +106,15 @@
         }
     }
 }
+
+fn parse_phase(fields: &mut ObjectReader) -> Phase {
+    match fields.required_string("state").as_deref() {
+        Some("draining") => Phase::Draining,
+        Some("ready") => Phase::Ready,
+        Some(_) => {
+            fields.add_finding("state", "ready or draining expected");
+            Phase::Ready
+        }
+        None => Phase::Ready,
+    }
+}
