--- a/crates/consensus/tests/format.rs
+++ b/crates/consensus/tests/format.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use common::{MILLIS, SECOND, Trace, World, body_code, encode, member, members, settings};
-use rainlug_consensus::{InMemoryState, Index, Member, MemberId, Output, Replica, Restore, Time};
+use rainlug_consensus::{InMemoryState, Index, Member, MemberId, Ready, Replica, RestoreStep, Time};
 
 const GROUP: [MemberId; 3] = [1, 2, 3];
 /// Who joins it later.
@@ -112,41 +112,41 @@
     /// Carries out all that its replica wants; messages are dropped.
     fn carry_out(&mut self, now: Time) {
         for _ in 0..100 {
-            let output = self.replica.take();
+            let output = self.replica.take_ready();
             self.keep(&output, now);
             for step in output.restore {
                 match step {
-                    Restore::Begin => self.state.clear(),
-                    Restore::Chunk(chunk) => self.state.extend_from_slice(&chunk),
-                    Restore::Abandon | Restore::Finish(_) => {}
+                    RestoreStep::Begin => self.state.clear(),
+                    RestoreStep::Chunk(chunk) => self.state.extend_from_slice(&chunk),
+                    RestoreStep::Abandon | RestoreStep::Finish(_) => {}
                 }
             }
             self.committed.extend(output.committed);
         }
     }
 
-    fn keep(&mut self, output: &Output, now: Time) {
+    fn keep(&mut self, output: &Ready, now: Time) {
         let mut tickets = vec![];
         if let Some(rewrite) = &output.rewrite {
             self.disk = rewrite.records.iter().collect();
             self.told.extend(rewrite.records.iter());
             tickets.push(rewrite.ticket);
         }
-        for (ticket, record) in &output.save {
+        for (ticket, record) in &output.records {
             self.disk.push(record.clone());
             self.told.push(record.clone());
             tickets.push(*ticket);
         }
         if let Some(ticket) = tickets.into_iter().max() {
-            self.replica.saved(now, ticket);
+            self.replica.persisted(now, ticket);
         }
     }
 
     /// Time passes until it leads.
     fn lead(&mut self, mut now: Time) -> Time {
-        while !self.replica.leads() {
-            now = now.max(self.replica.next());
-            self.replica.due(now);
+        while !self.replica.is_serving_leader() {
+            now = now.max(self.replica.next_timeout());
+            self.replica.handle_timeout(now);
             self.carry_out(now);
         }
         now
@@ -164,7 +164,7 @@
 /// A member alone in its group, with an IPv6 address.
 fn single_member() -> Member {
     let at = SocketAddr::V6(SocketAddrV6::new(Ipv6Addr::LOCALHOST, 4711, 5, 6));
-    Member { name: "n\u{e4}me".to_owned(), zone: String::new(), at, ..member(9) }
+    Member { name: "n\u{e4}me".to_owned(), zone: String::new(), address: at, ..member(9) }
 }
 
 /// A member alone in its group commits commands before and after a snapshot of two pieces.
@@ -176,7 +176,7 @@
         node.replica.propose(now, Bytes::from(command)).expect("it leads");
         node.carry_out(now);
         if command == "two" {
-            node.replica.snapshot(now, Arc::new(InMemoryState::new(Bytes::from_static(b"a whole state"), 8)));
+            node.replica.compact(now, Arc::new(InMemoryState::new(Bytes::from_static(b"a whole state"), 8)));
             node.carry_out(now);
         }
     }
@@ -187,7 +187,7 @@
 fn vacated(disk: &[Bytes]) -> Vec<Bytes> {
     let mut node = Node::recover(single_member(), disk);
     node.carry_out(0);
-    assert!(node.replica.vacate(0));
+    assert!(node.replica.become_tombstone(0));
     node.carry_out(0);
     node.told
 }
@@ -216,7 +216,8 @@
     let disk: Vec<Bytes> = committed.into_iter().map(|(_, record)| record).collect();
     let mut again = Node::recover(single_member(), &disk);
     again.lead(0);
-    assert_eq!(again.replica.members(), (&[single_member()][..], true));
+    assert_eq!(again.replica.members(), &[single_member()][..]);
+    assert!(again.replica.is_replica_set_committed());
     assert_eq!(again.state, b"a whole state");
     assert_eq!(again.committed.iter().map(|(_, command)| &command[..]).collect::<Vec<_>>(), [b"three"]);
     assert_eq!(again.committed, node.committed[2..], "at the same index");
@@ -229,7 +230,7 @@
     assert!(!fixture::of_kind(&committed, "VoteFloor").is_empty());
     let disk: Vec<Bytes> = committed.into_iter().map(|(_, record)| record).collect();
     let again = Node::recover(single_member(), &disk);
-    assert!(again.replica.is_vacant());
+    assert!(again.replica.is_tombstone());
 }
 
 #[test]
@@ -237,8 +238,8 @@
     for (kind, bytes) in fixture::read("messages") {
         let to = MemberId::from_le_bytes(bytes[..8].try_into().expect("a receiver"));
         let mut replica = Replica::new(member(to), members(&GROUP), settings(2), 1, 0);
-        assert_eq!(replica.heard(1, &bytes), Ok(()), "{kind}");
-        assert!(replica.heard(1, &bytes.slice(..20)).is_err(), "{kind} without its end");
+        assert_eq!(replica.receive(1, &bytes), Ok(()), "{kind}");
+        assert!(replica.receive(1, &bytes.slice(..20)).is_err(), "{kind} without its end");
     }
 }
 
@@ -250,11 +251,13 @@
 
     let mut node = Node::new(Replica::new(member(NEWCOMER), vec![], settings(2), 1, 0));
     for (kind, bytes) in committed {
-        assert_eq!(node.replica.heard(1, &bytes), Ok(()), "{kind}");
+        assert_eq!(node.replica.receive(1, &bytes), Ok(()), "{kind}");
         node.carry_out(1);
     }
     assert_eq!(node.replica.term(), world.replica(NEWCOMER).term());
-    assert_eq!(node.replica.members(), world.replica(NEWCOMER).members());
+    let expected = world.replica(NEWCOMER);
+    assert_eq!(node.replica.members(), expected.members());
+    assert_eq!(node.replica.is_replica_set_committed(), expected.is_replica_set_committed());
     assert!(!node.state.is_empty(), "a snapshot came");
     assert!(!node.committed.is_empty(), "entries came behind it");
     assert_eq!(node.whole_state(), encode(&world.nodes[&NEWCOMER].applied));
@@ -272,6 +275,7 @@
     let expected = world.replica(NEWCOMER);
     assert_eq!(node.replica.term(), expected.term());
     assert_eq!(node.replica.members(), expected.members());
+    assert_eq!(node.replica.is_replica_set_committed(), expected.is_replica_set_committed());
     let whole = encode(&world.nodes[&NEWCOMER].applied);
     assert!(!node.state.is_empty() && whole.starts_with(&node.state));
 }
--- a/crates/coordinator/src/listing.rs
+++ b/crates/coordinator/src/listing.rs
@@ -130,12 +130,13 @@
         let mut lines: Vec<StoreListing> = Vec::new();
         for (member, retiring) in self.shelved() {
             let holds = |seats: &[MemberRecord]| seats.iter().any(|s| s.id == member.id);
-            let shards = self.topology.groups.iter().filter(|g| holds(&g.members)).map(|g| g.shard).collect();
-            let standing = stands(member.at).unwrap_or("unknown");
+            let shards =
+                self.topology.replica_sets.iter().filter(|g| holds(&g.members)).map(|g| g.shard).collect();
+            let standing = stands(member.address).unwrap_or("unknown");
             lines.push(StoreListing {
                 name: member.name,
                 zone: member.zone,
-                peer: member.at,
+                peer: member.address,
                 standing,
                 retiring,
                 shards,
@@ -146,7 +147,7 @@
     }
 
     fn shelved(&self) -> impl Iterator<Item = (Member, bool)> {
-        self.topology.stores.iter().filter_map(|s| Some((s.seat.member().ok()?, s.is_retiring())))
+        self.topology.stores.iter().filter_map(|s| Some((s.member.member().ok()?, s.is_retiring())))
     }
 
     /// All parts, as far as this process knows: of a part that it has no replica in, by the roster and by where calls went last.
@@ -159,18 +160,22 @@
         let line = |number: u16| {
             let (leader, seats, term) = match self.shards.get(&number) {
                 Some(shard) => {
-                    let seats: Vec<SocketAddr> = shard.replica.members().0.iter().map(|m| m.at).collect();
-                    (shard.replica.leader().map(|m| m.at), seats, shard.replica.term())
+                    let seats: Vec<SocketAddr> = shard.replica.members().iter().map(|m| m.address).collect();
+                    (shard.replica.leader().map(|m| m.address), seats, shard.replica.term())
                 }
                 None => {
-                    let listed = self.topology.groups.iter().find(|g| g.shard == number);
+                    let listed = self.topology.replica_sets.iter().find(|g| g.shard == number);
                     let seats = if number == CONTROL {
-                        Some(&self.topology.core)
+                        Some(&self.topology.configuration_members)
                     } else {
                         listed.map(|g| &g.members)
                     };
-                    let seats =
-                        seats.into_iter().flatten().filter_map(|s| s.member().ok()).map(|m| m.at).collect();
+                    let seats = seats
+                        .into_iter()
+                        .flatten()
+                        .filter_map(|s| s.member().ok())
+                        .map(|m| m.address)
+                        .collect();
                     (self.hints.get(&number).copied(), seats, listed.map_or(0, |g| g.term))
                 }
             };
--- a/crates/coordinator/src/serving.rs
+++ b/crates/coordinator/src/serving.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
 use rainlug_batch::Command;
-use rainlug_consensus::Refused;
+use rainlug_consensus::ProposeError;
 use rainlug_registry::Configuration;
 
 use crate::control::{Change, Store};
@@ -20,7 +20,7 @@
 impl Coordinator {
     /// A call that has come to this process as a part's leader.
     pub(crate) fn serve(&mut self, origin: Origin, number: u16, request: Request, tail: Bytes) {
-        if !self.shards.get(&number).is_some_and(|p| p.replica.leads()) {
+        if !self.shards.get(&number).is_some_and(|p| p.replica.is_serving_leader()) {
             return self.send_elsewhere(number, origin);
         }
         let name = |text: &Text| text.to_str().map(str::to_owned).unwrap_or_default();
@@ -34,7 +34,7 @@
             }
             (CONTROL, Request::Join { seat }) => {
                 if let Ok(member) = seat.member() {
-                    self.joiners.insert(member.id, (member, self.now.steady));
+                    self.join_candidates.insert(member.id, (member, self.now.steady));
                 }
                 self.reply(origin, Answer::of(200));
             }
@@ -70,7 +70,11 @@
             (1.., Request::End { job }) => self.end(number, origin, name(&job)),
             (1.., Request::Reserve { job, route, shard, tokens, most }) => {
                 let (route, job, at) = (name(&route), name(&job), self.now.wall);
-                self.reserve(number, origin, Command::Reserve { route, job, shard, tokens, most, at });
+                self.reserve(
+                    number,
+                    origin,
+                    Command::Reserve { route, job, shard, tokens, max_waiting_tokens: most, timestamp: at },
+                );
             }
             (1.., Request::Settle) => self.settle_tokens(number, origin, &tail),
             _ => self.reply(origin, Answer::of(400)),
@@ -88,7 +92,7 @@
                 self.drain(number);
                 true
             }
-            Err(Refused::NotLeader(_) | Refused::Busy) => {
+            Err(ProposeError::NotLeader(_) | ProposeError::ChangeInProgress) => {
                 self.send_elsewhere(number, origin);
                 false
             }
@@ -106,7 +110,7 @@
         let Some(shard) = self.shards.get_mut(&number) else { return };
         shard.tickets += 1;
         shard.reads.insert(shard.tickets, (origin, wanted));
-        shard.replica.read(self.now.steady, shard.tickets);
+        shard.replica.read_index(self.now.steady, shard.tickets);
         self.drain(number);
     }
 
@@ -134,10 +138,10 @@
         let stays = |other: &&Store| other.member.name != store && !other.is_retiring();
         let (listed, living) =
             control.stores.values().filter(stays).fold((0, 0), |(listed, living), other| {
-                (listed + 1, living + usize::from(self.living.contains_key(&other.member.at)))
+                (listed + 1, living + usize::from(self.live_peers.contains_key(&other.member.address)))
             });
         // As many as a group must have for the loss of what is to be borne.
-        let least = self.info.fewest_members();
+        let least = self.info.min_members();
         if listed < least {
             return self.reply(origin, Answer::of(409));
         }
@@ -169,7 +173,7 @@
             Wanted::BatchJob { job, since, until } => self.show_job(number, origin, job, since, until),
             Wanted::Body { job, item } => {
                 let Some(register) = self.shards.get(&number).and_then(|p| p.register()) else { return };
-                let body = register.body(&job, &item);
+                let body = register.item_body(&job, &item);
                 let answer = body.map_or(Answer::of(404), |body| Answer { body, ..Answer::of(200) });
                 self.reply(origin, answer);
             }
--- a/crates/coordinator/src/shard.rs
+++ b/crates/coordinator/src/shard.rs
@@ -4,18 +4,21 @@
 
 use bytes::Bytes;
 use rainlug::Time;
-use rainlug_batch::{QuotaLedger, Register, Schedule};
-use rainlug_consensus::{Index, Member, Output, Replica, Restore, Rewrite, Settings};
+use rainlug_batch::{JobTable, QuotaLedger, Schedule};
+use rainlug_consensus::{Index, Member, Ready, Replica, RestoreStep, Rewrite, Settings};
 use rainlug_registry::gossip;
 
-use crate::capacity::{LogUse, ShardDisk};
+use crate::capacity::{LogUsage, ShardDisk};
 use crate::control::{Control, Outcome};
 use crate::frame::{Head, join};
 use crate::invariants::Invariant;
 pub(crate) use crate::machine::Machine;
 use crate::machine::{RestoreError, Restoring};
 use crate::quota::{Reports, Submitting};
-use crate::{Answer, CONTROL, Coordinator, Effect, Held, News, Origin, SPREADING};
+use crate::{
+    Answer, AwaitedUpdate, CONTROL, Coordinator, DISSEMINATION_TIMEOUT, Effect, Origin,
+    PendingAcknowledgement,
+};
 
 /// Versions of the roster that one term has, as a power of two: those of later leaders are newer.
 const ROSTERS_OF_A_TERM: u32 = 24;
@@ -61,7 +64,7 @@
     pub pause: Time,
     pub swept: Time,
     /// Since when it may be given up: nobody leads it, and its group is told to be without this disk.
-    pub seatless_since: Option<Time>,
+    pub lost_membership_since: Option<Time>,
     pub disk: ShardDisk,
     /// A snapshot of the machine is asked for.
     pub compact_wanted: bool,
@@ -95,7 +98,7 @@
             schedule: None,
             pause: 0,
             swept: now,
-            seatless_since: None,
+            lost_membership_since: None,
             disk: ShardDisk::of(records),
             compact_wanted: false,
             submitting: BTreeMap::new(),
@@ -103,14 +106,14 @@
     }
 
     /// A step of replacing the state machine's whole state.
-    fn restore(&mut self, step: Restore) -> Result<(), RestoreError> {
+    fn restore(&mut self, step: RestoreStep) -> Result<(), RestoreError> {
         match step {
-            Restore::Begin => self.restoring = Some(self.machine.restore_begin()),
-            Restore::Abandon => self.restoring = None,
-            Restore::Chunk(chunk) => {
+            RestoreStep::Begin => self.restoring = Some(self.machine.restore_begin()),
+            RestoreStep::Abandon => self.restoring = None,
+            RestoreStep::Chunk(chunk) => {
                 self.restoring.as_mut().ok_or(RestoreError::NotBegun)?.take(&chunk)?;
             }
-            Restore::Finish(_) => {
+            RestoreStep::Finish(_) => {
                 let restoring = self.restoring.take().ok_or(RestoreError::NotBegun)?;
                 let (machine, quota_ledger) = restoring.finish()?;
                 self.machine = machine;
@@ -122,7 +125,7 @@
 
     pub fn next_poll(&self) -> Time {
         let polls = self.polls.iter().map(|p| p.3).min().unwrap_or(Time::MAX);
-        let waits = self.schedule.as_ref().is_some_and(|s| s.waiting() > 0);
+        let waits = self.schedule.as_ref().is_some_and(|s| s.ready_count() > 0);
         if waits && self.pause > 0 { polls.min(self.pause) } else { polls }
     }
 
@@ -133,7 +136,7 @@
         }
     }
 
-    pub fn register(&self) -> Option<&Register> {
+    pub fn register(&self) -> Option<&JobTable> {
         match &self.machine {
             Machine::BatchJobs(register) => Some(register),
             Machine::Control(_) => None,
@@ -141,30 +144,30 @@
     }
 
     /// Its log's part of the disk.
-    pub fn log_use(&self) -> LogUse {
+    pub fn log_use(&self) -> LogUsage {
         let length = self.disk.length;
         match &self.machine {
             Machine::BatchJobs(register) => {
-                LogUse { length, rewritten: register.size() as u64, totals: register.totals() }
+                LogUsage { length, rewritten: register.memory_bytes() as u64, totals: register.totals() }
             }
             Machine::Control(control) => {
-                LogUse { length, rewritten: control.size() as u64, ..LogUse::default() }
+                LogUsage { length, rewritten: control.size() as u64, ..LogUsage::default() }
             }
         }
     }
 
     pub fn metrics(&self) -> Vec<(String, f64)> {
-        if self.replica.is_vacant() {
+        if self.replica.is_tombstone() {
             return Vec::new();
         }
         let name = |what: &str| format!("part_{}_{what}", self.number);
         let mut metrics = vec![
             (name("leads"), f64::from(u8::from(self.led))),
             (name("term"), self.replica.term() as f64),
-            (name("members"), self.replica.members().0.len() as f64),
+            (name("members"), self.replica.members().len() as f64),
         ];
         if let Some(register) = self.register() {
-            metrics.push((name("bytes"), register.size() as f64));
+            metrics.push((name("bytes"), register.memory_bytes() as f64));
             metrics.push((name("file_bytes"), self.disk.length as f64));
             metrics.push((name("tokens_counted"), self.quota_ledger.total_tokens() as f64));
         }
@@ -172,8 +175,8 @@
             metrics.push((name("tokens_waiting"), reports.tokens() as f64));
         }
         if let Some(schedule) = &self.schedule {
-            metrics.push((name("items_running"), schedule.running() as f64));
-            metrics.push((name("items_waiting"), schedule.waiting() as f64));
+            metrics.push((name("items_running"), schedule.running_count() as f64));
+            metrics.push((name("items_waiting"), schedule.ready_count() as f64));
         }
         metrics
     }
@@ -185,15 +188,15 @@
     pub(crate) fn drain(&mut self, number: u16) {
         for _ in 0..MOST_TAKES {
             let Some(shard) = self.shards.get_mut(&number) else { return };
-            let output = shard.replica.take();
+            let output = shard.replica.take_ready();
             let quiet = output.messages.is_empty()
-                && output.save.is_empty()
+                && output.records.is_empty()
                 && output.rewrite.is_none()
                 && output.restore.is_empty()
                 && output.committed.is_empty()
                 && output.reads.is_empty()
-                && !output.changed
-                && !output.compact;
+                && !output.has_status_changed
+                && !output.needs_compaction;
             if quiet && !std::mem::take(&mut shard.compact_wanted) {
                 break;
             }
@@ -201,23 +204,23 @@
                 // Nothing is on its way to the disk but what it was handed: the rewrite may be put off and nothing is missing.
                 let state = shard.machine.snapshot_source(&shard.quota_ledger);
                 let size = state.size();
-                shard.replica.snapshot(self.now.steady, state);
+                shard.replica.compact(self.now.steady, state);
                 self.effects.push(Effect::Log("snapshot", format!("part {number}: {size} bytes")));
                 continue;
             }
             self.carry_out(number, output);
-            if self.shards.get(&number).is_none_or(|shard| shard.replica.has_backlog()) {
+            if self.shards.get(&number).is_none_or(|shard| shard.replica.has_unapplied_entries()) {
                 break;
             }
         }
         self.leading(number);
     }
 
-    fn carry_out(&mut self, number: u16, output: Output) {
+    fn carry_out(&mut self, number: u16, output: Ready) {
         self.check_step(&output);
         for (to, bytes) in output.messages {
             self.effects.push(Effect::Frame {
-                to: to.at,
+                to: to.address,
                 head: join(&Head::Group { shard: number }, &[]),
                 tail: bytes,
             });
@@ -227,10 +230,10 @@
             self.saving(number, ticket);
             self.effects.push(Effect::Rewrite { shard: number, ticket, records, implied });
         }
-        if let Some((ticket, _)) = output.save.last() {
+        if let Some((ticket, _)) = output.records.last() {
             let ticket = *ticket;
             self.saving(number, ticket);
-            let records = output.save.into_iter().map(|(_, record)| record).collect();
+            let records = output.records.into_iter().map(|(_, record)| record).collect();
             self.effects.push(Effect::Save { shard: number, ticket, records });
         }
         for step in output.restore {
@@ -252,16 +255,16 @@
                 Err(_) => self.send_elsewhere(number, origin),
             }
         }
-        if output.compact
+        if output.needs_compaction
             && let Some(shard) = self.shards.get_mut(&number)
         {
-            if output.is_state_wanted || shard.log_use().pays() {
+            if output.needs_snapshot || shard.log_use().pays() {
                 shard.compact_wanted = true;
             } else {
-                shard.replica.postpone_snapshot();
+                shard.replica.postpone_compaction();
             }
         }
-        if output.changed && number == CONTROL {
+        if output.has_status_changed && number == CONTROL {
             self.post();
         }
     }
@@ -273,14 +276,14 @@
         }
     }
 
-    fn restore(&mut self, number: u16, step: Restore) {
+    fn restore(&mut self, number: u16, step: RestoreStep) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        if let Restore::Finish(index) = step {
+        if let RestoreStep::Finish(index) = step {
             self.effects.push(Effect::Log("restore", format!("part {number}: as of entry {index}")));
         }
         if let Err(error) = shard.restore(step) {
             self.violated(Invariant::StateRestored, &format_args!("part {number}: {error}"));
-            self.give_up_disk(number);
+            self.discard_disk(number);
         }
     }
 
@@ -303,8 +306,8 @@
                     Ok(Outcome::Unknown) => Answer::of(404),
                     Err(_) => Answer::of(500),
                 };
-                let (until, news) = (now + SPREADING, News::Configuration(version));
-                self.held.push(Held { origin, answer, until, news });
+                let (until, update) = (now + DISSEMINATION_TIMEOUT, AwaitedUpdate::Configuration(version));
+                self.pending_acknowledgements.push(PendingAcknowledgement { origin, answer, until, update });
             }
             Machine::BatchJobs(_) => self.jobs_committed(number, command, mine),
         }
@@ -313,7 +316,7 @@
     /// What follows from who leads.
     fn leading(&mut self, number: u16) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        let leads = shard.replica.leads();
+        let leads = shard.replica.is_serving_leader();
         if leads == shard.led {
             return;
         }
@@ -322,7 +325,7 @@
         let term = shard.replica.term();
         if leads {
             if let Machine::BatchJobs(register) = &shard.machine {
-                shard.schedule = Some(Schedule::new(register, self.now.wall));
+                shard.schedule = Some(Schedule::new(register));
                 shard.reports = Some(Reports::new(register, term, self.now.wall));
             }
             self.effects.push(Effect::Log("leads", format!("part {number}, term {term}")));
@@ -349,21 +352,21 @@
 
     /// The leader of the configuration's part enters what is agreed on in the gossip.
     pub(crate) fn post(&mut self) {
-        let Some(shard) = self.shards.get(&CONTROL).filter(|p| p.replica.leads()) else { return };
+        let Some(shard) = self.shards.get(&CONTROL).filter(|p| p.replica.is_serving_leader()) else { return };
         let Some(control) = shard.control() else { return };
         let (version, text) = (control.version, control.text.clone());
-        let (core, settled) = shard.replica.members();
+        let (core, settled) = (shard.replica.members(), shard.replica.is_replica_set_committed());
         let topology = settled.then(|| control.topology(core));
         let term = shard.replica.term();
         if version > 0 && self.gossip.document(gossip::CONFIGURATION).is_none_or(|(known, _)| known < version)
         {
-            self.enter_text(gossip::CONFIGURATION, version, text);
+            self.publish_document(gossip::CONFIGURATION, version, text);
         }
         // A leader of a later term has told of a newer one.
         let superseded = self.topology_version >= (term + 1) << ROSTERS_OF_A_TERM;
         if let Some(topology) = topology.filter(|r| *r != self.topology && !superseded) {
             let version = (term << ROSTERS_OF_A_TERM).max(self.topology_version) + 1;
-            self.enter_text(gossip::TOPOLOGY, version, topology.encode());
+            self.publish_document(gossip::TOPOLOGY, version, topology.encode());
         }
     }
 }
