--- a/crates/batch/src/command.rs
+++ b/crates/batch/src/command.rs
@@ -8,7 +8,7 @@
 use quick_error::quick_error;
 use rainlug::Time;
 
-use crate::text::{StoredText, read_stored_text, write_stored_text};
+use crate::stored_text::{StoredText, read_stored_text, write_stored_text};
 use crate::wire::{
     self, Source, read_bytes, read_list, read_text, read_text_pairs, write_bytes, write_list, write_text,
     write_text_pairs,
--- a/crates/batch/src/item.rs
+++ b/crates/batch/src/item.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use deku::prelude::*;
 
-use crate::text::{StoredText, read_stored_text, write_stored_text};
+use crate::stored_text::{StoredText, read_stored_text, write_stored_text};
 use crate::wire::{COUNT_LEN, Source};
 use crate::{Item, ItemOutcome};
 
--- a/crates/batch/src/job.rs
+++ b/crates/batch/src/job.rs
@@ -14,7 +14,7 @@
 
 use crate::item::{self, ALLOCATION_OVERHEAD, JobItem, Output};
 use crate::layout::{Groups, max_group_bytes};
-use crate::text::StoredText;
+use crate::stored_text::StoredText;
 use crate::wire::{COUNT_LEN, Source, read_shared_text, read_text, write_text};
 use crate::{Item, ItemOutcome};
 
--- a/crates/batch/src/json.rs
+++ b/crates/batch/src/json.rs
@@ -1,61 +1,42 @@
-//! JSON texts: a strict check before a lenient reader sees them, and their writing.
+//! Strict JSON syntax (RFC 8259): a check of texts before the lenient reader sees them, and the writing of strings.
 
 use std::fmt::Write;
 
-/// Finds that a text is one JSON value (RFC 8259), at any depth. `nanoserde` must not be given another: it panics on some and
-/// never ends on others.
+/// Checks that a text is one JSON value, nested to any depth. The memory used is in proportion to the depth; nothing recurses.
+///
+/// `nanoserde` must be given no other text: it panics on some that are not JSON, and loops for ever on others.
 ///
 /// # Errors
-/// The offset in bytes at which it is not.
+/// The offset in bytes of the first fault.
 pub fn check(text: &str) -> Result<(), usize> {
-    let mut scan = Scan { bytes: text.as_bytes(), at: 0 };
-    scan.value().ok_or(scan.at)
+    let mut scanner = Scanner { bytes: text.as_bytes(), offset: 0 };
+    scanner.document().ok_or(scanner.offset)
 }
 
-struct Scan<'a> {
+/// Methods advance past what they are named after; nothing where it is not there.
+struct Scanner<'a> {
     bytes: &'a [u8],
-    at: usize,
+    offset: usize,
 }
 
-impl Scan<'_> {
-    fn value(&mut self) -> Option<()> {
-        // The closing bracket of each that is open.
-        let mut open = Vec::new();
+impl Scanner<'_> {
+    fn document(&mut self) -> Option<()> {
+        // The closing brackets of the arrays and objects that are open.
+        let mut closers = Vec::new();
         loop {
-            self.space();
-            match self.peek()? {
-                b'{' => {
-                    self.at += 1;
-                    self.space();
-                    if !self.is_past(b'}') {
-                        open.push(b'}');
-                        self.key()?;
-                        continue;
-                    }
-                }
-                b'[' => {
-                    self.at += 1;
-                    self.space();
-                    if !self.is_past(b']') {
-                        open.push(b']');
-                        continue;
-                    }
-                }
-                b'"' => self.string()?,
-                b't' => self.word(b"true")?,
-                b'f' => self.word(b"false")?,
-                b'n' => self.word(b"null")?,
-                _ => self.number()?,
+            if self.value_or_opening(&mut closers)? {
+                continue;
             }
+            // Behind a value: closing brackets, then a comma or the end.
             loop {
-                self.space();
-                let Some(&close) = open.last() else {
-                    return (self.at == self.bytes.len()).then_some(());
+                self.skip_whitespace();
+                let Some(&closer) = closers.last() else {
+                    return (self.offset == self.bytes.len()).then_some(());
                 };
-                if self.is_past(close) {
-                    open.pop();
-                } else if self.is_past(b',') {
-                    if close == b'}' {
+                if self.eat(closer) {
+                    closers.pop();
+                } else if self.eat(b',') {
+                    if closer == b'}' {
                         self.key()?;
                     }
                     break;
@@ -66,103 +47,142 @@
         }
     }
 
+    /// A scalar or an empty array or object; or else, with `true`, the opening of an array or object up to its first value.
+    fn value_or_opening(&mut self, closers: &mut Vec<u8>) -> Option<bool> {
+        self.skip_whitespace();
+        match self.peek()? {
+            b'{' => {
+                if !self.opening(b'}') {
+                    closers.push(b'}');
+                    self.key()?;
+                    return Some(true);
+                }
+            }
+            b'[' => {
+                if !self.opening(b']') {
+                    closers.push(b']');
+                    return Some(true);
+                }
+            }
+            b'"' => self.string()?,
+            b't' => self.literal(b"true")?,
+            b'f' => self.literal(b"false")?,
+            b'n' => self.literal(b"null")?,
+            _ => self.number()?,
+        }
+        Some(false)
+    }
+
+    /// An opening bracket; with `true`, the closing one right behind it too.
+    fn opening(&mut self, closer: u8) -> bool {
+        self.offset += 1;
+        self.skip_whitespace();
+        self.eat(closer)
+    }
+
     fn peek(&self) -> Option<u8> {
-        self.bytes.get(self.at).copied()
+        self.bytes.get(self.offset).copied()
     }
 
-    fn is_past(&mut self, byte: u8) -> bool {
-        let is_here = self.peek() == Some(byte);
-        self.at += usize::from(is_here);
-        is_here
+    /// Whether the byte was next.
+    fn eat(&mut self, byte: u8) -> bool {
+        let is_next = self.peek() == Some(byte);
+        self.offset += usize::from(is_next);
+        is_next
     }
 
-    fn space(&mut self) {
+    fn skip_whitespace(&mut self) {
         while matches!(self.peek(), Some(b' ' | b'\t' | b'\n' | b'\r')) {
-            self.at += 1;
+            self.offset += 1;
         }
     }
 
+    /// The name of an object's member, with its colon.
     fn key(&mut self) -> Option<()> {
-        self.space();
+        self.skip_whitespace();
         self.string()?;
-        self.space();
-        self.is_past(b':').then_some(())
+        self.skip_whitespace();
+        self.eat(b':').then_some(())
     }
 
-    fn word(&mut self, word: &[u8]) -> Option<()> {
-        self.bytes.get(self.at..)?.starts_with(word).then(|| self.at += word.len())
+    fn literal(&mut self, literal: &[u8]) -> Option<()> {
+        self.bytes.get(self.offset..)?.starts_with(literal).then(|| self.offset += literal.len())
     }
 
     fn string(&mut self) -> Option<()> {
-        self.is_past(b'"').then_some(())?;
+        self.eat(b'"').then_some(())?;
         loop {
             let byte = self.peek()?;
             if byte < b' ' {
                 return None;
             }
-            self.at += 1;
+            self.offset += 1;
             match byte {
                 b'"' => return Some(()),
-                b'\\' => {
-                    let escape = self.peek()?;
-                    self.at += 1;
-                    match escape {
-                        b'u' => {
-                            let digits = self.bytes.get(self.at..self.at + 4)?;
-                            digits.iter().all(u8::is_ascii_hexdigit).then(|| self.at += 4)?;
-                        }
-                        b'"' | b'\\' | b'/' | b'b' | b'f' | b'n' | b'r' | b't' => {}
-                        _ => return None,
-                    }
-                }
+                b'\\' => self.escape()?,
                 _ => {}
             }
         }
     }
 
+    /// What follows a backslash.
+    fn escape(&mut self) -> Option<()> {
+        let escaped = self.peek()?;
+        self.offset += 1;
+        match escaped {
+            b'u' => {
+                let digits = self.bytes.get(self.offset..self.offset + 4)?;
+                digits.iter().all(u8::is_ascii_hexdigit).then(|| self.offset += 4)
+            }
+            b'"' | b'\\' | b'/' | b'b' | b'f' | b'n' | b'r' | b't' => Some(()),
+            _ => None,
+        }
+    }
+
     fn number(&mut self) -> Option<()> {
-        self.is_past(b'-');
-        if !self.is_past(b'0') {
+        self.eat(b'-');
+        if !self.eat(b'0') {
             self.digits()?;
         }
-        if self.is_past(b'.') {
+        if self.eat(b'.') {
             self.digits()?;
         }
-        if self.is_past(b'e') || self.is_past(b'E') {
-            let _ = self.is_past(b'+') || self.is_past(b'-');
+        if self.eat(b'e') || self.eat(b'E') {
+            let _has_sign = self.eat(b'+') || self.eat(b'-');
             self.digits()?;
         }
         Some(())
     }
 
     fn digits(&mut self) -> Option<()> {
-        let from = self.at;
+        let start = self.offset;
         while matches!(self.peek(), Some(b'0'..=b'9')) {
-            self.at += 1;
+            self.offset += 1;
         }
-        (self.at > from).then_some(())
+        (self.offset > start).then_some(())
     }
 }
 
-/// Puts a text in quotes, escaped.
-pub fn push_string(out: &mut String, text: &str) {
-    out.push('"');
-    let mut plain = 0;
-    for (at, byte) in text.bytes().enumerate() {
-        if byte >= b' ' && byte != b'"' && byte != b'\\' && byte != 0x7f {
+/// Appends a text as a JSON string: in quotes, escaped where it has to be.
+pub fn push_string(json: &mut String, text: &str) {
+    const DELETE: u8 = 0x7f;
+    json.push('"');
+    let mut copied = 0;
+    for (index, byte) in text.bytes().enumerate() {
+        if byte >= b' ' && byte != b'"' && byte != b'\\' && byte != DELETE {
             continue;
         }
-        out.push_str(&text[plain..at]);
-        plain = at + 1;
+        json.push_str(&text[copied..index]);
+        copied = index + 1;
         match byte {
-            b'"' => out.push_str("\\\""),
-            b'\\' => out.push_str("\\\\"),
-            b'\n' => out.push_str("\\n"),
-            b'\r' => out.push_str("\\r"),
-            b'\t' => out.push_str("\\t"),
-            _ => write!(out, "\\u{byte:04x}").expect("a string takes all"),
+            b'"' => json.push_str("\\\""),
+            b'\\' => json.push_str("\\\\"),
+            b'\n' => json.push_str("\\n"),
+            b'\r' => json.push_str("\\r"),
+            b'\t' => json.push_str("\\t"),
+            _ => write!(json, "\\u{byte:04x}").expect("a string takes all"),
         }
     }
-    out.push_str(&text[plain..]);
-    out.push('"');
+    json.push_str(&text[copied..]);
+    json.push('"');
 }
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -13,8 +13,8 @@
 mod restore;
 mod schedule;
 mod snapshot;
+mod stored_text;
 mod submission;
-mod text;
 mod wire;
 
 pub use command::{Command, DecodeError, Item, ItemOutcome};
@@ -24,5 +24,5 @@
 pub use restore::{JobTableRestore, RestoreError};
 pub use schedule::{ItemRun, MAX_PROPOSALS, RunOutcome, Schedule};
 pub use snapshot::{CHUNK_BYTES, JobTableSnapshot};
+pub use stored_text::{MAX_INFLATED_BYTES, StoredText, StoredTextError};
 pub use submission::{SubmissionError, parse_submission};
-pub use text::{MAX_INFLATED_BYTES, StoredText, StoredTextError};
--- a/crates/batch/tests/text.rs
+++ b/crates/batch/tests/stored_text.rs
@@ -36,8 +36,8 @@
     for lines in [10, 25, 40] {
         let text = random_letters(lines);
         let stored = StoredText::new(text.as_bytes());
-        let (stored_len, max_waiting_tokens) = (stored.stored().len(), text.len() * 68 / 100);
-        assert!(stored_len < max_waiting_tokens, "{stored_len} of {}", text.len());
+        let (stored_len, max_len) = (stored.stored().len(), text.len() * 68 / 100);
+        assert!(stored_len < max_len, "{stored_len} of {}", text.len());
         assert_eq!(stored.text().unwrap(), text.as_bytes());
     }
 }
