--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -1,7 +1,17 @@
-//! Batch jobs. [`Register`] is the state machine of a part: what has been accepted, listed and ended, the
-//! same at every replica. [`RegisterSnapshot`] is all of it at one moment, encoded piece by piece, and
-//! [`RegisterRestore`] takes these pieces. [`Ledger`] counts a route's tokens over all parts, in the log of one
-//! of them. [`Schedule`] is its owner's alone: which item runs next. No I/O.
+//! Batch jobs of a shard, without I/O.
+//!
+//! A batch job is a list of items; each is a request to a worker, and finishes with an output that the client reads. Every shard of
+//! batch jobs is a replicated log of [`Command`]s; this crate has the state machines that the log changes, and the plan of its leader:
+//!
+//! - [`JobTable`]: batch jobs, their open items and outputs; the same at every replica.
+//! - [`JobTableSnapshot`] and [`JobTableRestore`]: a table as of one moment, encoded chunk by chunk and built again.
+//! - [`QuotaLedger`]: a route's tokens over all shards, kept in the log of one of them.
+//! - [`Schedule`]: which item runs next; the leader's alone, made anew by the next one.
+//! - [`parse_submission`]: a client's batch job.
+//!
+//! All of it is deterministic: time comes with commands and calls, as Unix time in microseconds.
+
+#![warn(missing_docs)]
 
 mod command;
 mod item;
--- a/crates/batch/src/schedule.rs
+++ b/crates/batch/src/schedule.rs
@@ -1,3 +1,9 @@
+//! Which item of a shard runs next. The schedule is the shard leader's own; it is not replicated.
+//!
+//! A new leader makes it anew from the [`JobTable`]: events that runs gave under the leader before are lost, and their items run again
+//! from the start. The schedule decides and nothing else: the leader hands an [`ItemRun`] to a worker, tells the schedule how it
+//! ended, and proposes the [`Command`]s that it gets.
+
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -7,102 +13,146 @@
 use crate::job::{BatchJob, BatchJobHeader};
 use crate::{Applied, Command, Item, ItemOutcome, JobTable, StoredText};
 
-/// Commands that one call of [`Schedule::overdue`] gives, at most: its caller proposes them all in one step.
+/// Commands that one call of [`Schedule::take_proposals`] gives, at most: its caller proposes them all in one step.
 pub const MAX_PROPOSALS: usize = 256;
-/// Items whose time is over that one call of [`Schedule::next`] passes over, at most.
+/// Expired items that one call of [`Schedule::start_next`] skips, at most.
 const MAX_EXPIRED_SKIPPED: usize = 1024;
+/// Items that one call plans, about: the last batch job is planned as a unit.
+const MAX_ITEMS_PLANNED: usize = 1024;
+/// Weight of the newest run in the moving average of run times.
+const RUN_TIME_WEIGHT: f64 = 1.0 / 16.0;
 
-/// An item to run now.
+/// A run of an item, to be handed to a worker now. Times are Unix time in microseconds.
 #[derive(Clone, Debug)]
 pub struct ItemRun {
+    /// The batch job's id.
     pub job: String,
+    /// The name of the batch job's route.
     pub route: String,
-    /// The `Host` that the batch job came with.
+    /// The `Host` of the request to the worker.
     pub host: String,
+    /// The request, and the item's id.
     pub item: Item,
-    /// The last event had so far (0: none), to go on after it.
+    /// Id of the last event that earlier runs gave (0: none); the run is to go on after it.
     pub last_event: u64,
+    /// When all outputs of the batch job are to be there.
     pub deadline: Time,
-    /// When the item may be given up.
+    /// When the item is abandoned.
     pub retain_until: Time,
 }
 
-/// How a run ended, for the schedule.
+/// How a run ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// The worker's answer was whole.
+    /// The worker's answer is complete.
     Complete,
-    /// A 500: one of the tries that the item has.
+    /// The worker answered 500. It counts as one of the item's attempts.
     Failed,
-    /// A 422: it can never be done.
+    /// The worker answered 422: the item can never succeed.
     Unprocessable,
-    /// It broke off, and goes on after the last event had.
+    /// The answer broke off; the next run goes on after its last event.
     Interrupted,
     /// No worker took it.
     NoCapacity,
 }
 
-/// The part of the mean time of runs that the newest one makes up.
-const NEWEST: f64 = 1.0 / 16.0;
-
-/// Items whose batch jobs one call plans, but for the last one's.
-const MAX_ITEMS_PLANNED: usize = 1024;
-
-/// Items in the order in which they run: due time, number of the batch job, place in it. The id at the end finds the plan.
-type Turn = (Time, u64, usize, Arc<str>);
-
-/// The owner's plan. It is made anew from the register by whoever becomes the owner. Times are Unix time in microseconds.
+/// The plan of a shard's leader. Times are Unix time in microseconds.
 ///
-/// Each command is given to be proposed once: what a leader has in its log stays there until another leader replaces it, and that
-/// one has a plan of its own. Only a command that was [refused](Schedule::refused) is given again.
+/// Each command is given once: what a leader has in its log stays there until another leader replaces it, and that one has a plan of
+/// its own. Only a command that the log [refused](Schedule::requeue_refused) is given again.
 pub struct Schedule {
-    /// Batch jobs that the register had when the plan was begun and that are still to be planned, the one due first at the front.
+    /// Batch jobs that the table had when the schedule was made and that are still to be planned, earliest deadline first.
     unplanned: VecDeque<Arc<str>>,
     plans: BTreeMap<Arc<str>, JobPlan>,
-    ready: BTreeSet<Turn>,
-    /// Runs that have not ended, by batch job and item, and when they began; also of items dropped since.
+    /// Items that neither run nor have a command that finishes them.
+    ready: BTreeSet<QueueKey>,
+    /// Runs by batch job and item, and when they began; also those whose item was dropped since.
     running: BTreeMap<(String, String), Time>,
-    /// How long whole runs take, on average.
-    run_time: Option<Time>,
-    /// Commands that were refused, to be proposed again; one an item.
-    refused: BTreeMap<Turn, Command>,
-    /// Batch jobs that may have items to abandon when their time is over.
-    retained: BTreeSet<(Time, Arc<str>)>,
+    /// Moving average of how long complete runs take.
+    mean_run_time: Option<Time>,
+    /// Commands to be proposed again, one for an item at most.
+    refused: BTreeMap<QueueKey, Command>,
+    /// When the open items of a batch job are to be abandoned.
+    expiries: BTreeSet<(Time, Arc<str>)>,
+}
+
+/// The order in which items run. The batch job's id comes last: it only finds the plan.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueueKey {
+    deadline: Time,
+    /// The batch job's number: batch jobs accepted before it.
+    job_number: u64,
+    item_index: usize,
+    job: Arc<str>,
 }
 
+/// What the schedule holds of a batch job.
 struct JobPlan {
     number: u64,
     deadline: Time,
     retain_until: Time,
     max_attempts: u32,
-    /// By place; only those still to be listed.
-    items: BTreeMap<usize, ItemPlan>,
+    /// Open items by index.
+    items: BTreeMap<usize, ItemProgress>,
 }
 
+/// What runs of an item gave so far.
 #[derive(Default)]
-struct ItemPlan {
-    /// Data of the events had so far.
+struct ItemProgress {
+    /// Data of the events.
     events: Vec<Bytes>,
+    /// Id of the last event (0: none).
     last_event: u64,
-    failed: u32,
-    /// A command that lists it was given to be proposed.
+    failed_attempts: u32,
+    /// A command that finishes the item was given; it does not run again.
     is_proposed: bool,
 }
 
 impl JobPlan {
-    fn turn(&self, job: &Arc<str>, item_index: usize) -> Turn {
-        (self.deadline, self.number, item_index, job.clone())
+    fn queue_key(&self, job: &Arc<str>, item_index: usize) -> QueueKey {
+        QueueKey { deadline: self.deadline, job_number: self.number, item_index, job: job.clone() }
     }
 
-    /// Places of items that no command lists yet.
+    /// Indices of items that no command finishes yet.
     fn unproposed(&self) -> impl Iterator<Item = usize> {
-        self.items.iter().filter(|(_, item)| !item.is_proposed).map(|(item_index, _)| *item_index)
+        self.items.iter().filter(|(_, progress)| !progress.is_proposed).map(|(index, _)| *index)
+    }
+}
+
+impl ItemProgress {
+    /// Takes the events (id, data) whose ids are over the last one: others were had before.
+    fn add_events(&mut self, events: Vec<(u64, Bytes)>) {
+        for (id, data) in events {
+            if id > self.last_event {
+                self.last_event = id;
+                self.events.push(data);
+            }
+        }
+    }
+
+    /// How the item finishes now that a run ended; nothing where it is to run again.
+    fn outcome_after(&mut self, run: &RunOutcome, max_attempts: u32) -> Option<ItemOutcome> {
+        match run {
+            RunOutcome::Complete => Some(ItemOutcome::Complete),
+            RunOutcome::Unprocessable => Some(ItemOutcome::Abandoned),
+            RunOutcome::Failed => {
+                self.failed_attempts = self.failed_attempts.saturating_add(1);
+                (self.failed_attempts >= max_attempts).then_some(ItemOutcome::Abandoned)
+            }
+            RunOutcome::Interrupted | RunOutcome::NoCapacity => None,
+        }
+    }
+
+    fn take_text(&mut self, outcome: ItemOutcome) -> StoredText {
+        match outcome {
+            ItemOutcome::Complete => StoredText::new(&std::mem::take(&mut self.events).join(&b'\n')),
+            ItemOutcome::Abandoned => StoredText::default(),
+        }
     }
 }
 
 impl Schedule {
-    /// All that the register has still to list, with no event had. A large plan is made over the next calls, in the order in which
-    /// items run.
+    /// A schedule of all open items of a table. A large one is planned over the next calls, in the order in which items run.
     pub fn new(table: &JobTable) -> Self {
         let mut open: Vec<&BatchJob> =
             table.jobs.values().map(|job| &**job).filter(|job| !job.is_closed()).collect();
@@ -112,15 +162,15 @@
             plans: BTreeMap::new(),
             ready: BTreeSet::new(),
             running: BTreeMap::new(),
-            run_time: None,
+            mean_run_time: None,
             refused: BTreeMap::new(),
-            retained: BTreeSet::new(),
+            expiries: BTreeSet::new(),
         };
         schedule.plan_more(table);
         schedule
     }
 
-    /// Plans further batch jobs as the register has them now.
+    /// Plans further batch jobs as the table has them now.
     fn plan_more(&mut self, table: &JobTable) {
         let mut planned = 0;
         while planned < MAX_ITEMS_PLANNED
@@ -128,114 +178,119 @@
         {
             if let Some(job) = table.jobs.get(&id).filter(|_| !self.plans.contains_key(&id)) {
                 planned += job.items().len().max(1);
-                self.add(job);
+                self.plan(job);
             }
         }
     }
 
-    /// After a command was applied to the register.
+    /// Follows a command that was applied to the table.
     pub fn handle_applied(&mut self, table: &JobTable, command: &Command, applied: Applied) {
         match command {
             Command::Submit { job, .. } => {
                 if let (Applied::Accepted, Some(job)) = (applied, table.jobs.get(&**job)) {
-                    self.drop_job(&job.header().id);
-                    self.add(job);
+                    self.drop_job(job.id());
+                    self.plan(job);
                 }
             }
             Command::FinishItem { job, item, .. } => match table.jobs.get(&**job) {
                 Some(found) => {
-                    if let Some(item_index) =
-                        found.item_index(item).filter(|item_index| !found.is_open(*item_index))
-                    {
-                        self.drop_item(job, item_index);
+                    if let Some(index) = found.item_index(item).filter(|index| !found.is_open(*index)) {
+                        self.drop_item(job, index);
                     }
                 }
                 None => self.drop_job(job),
             },
             Command::End { job, .. } => self.drop_job(job),
-            // What is forgotten was dropped when it was ended or listed.
+            // What is forgotten was dropped when its last item finished or it ended.
             Command::Forget { .. } => {}
-            // The ledger's.
+            // The quota ledger's.
             Command::Reserve { .. } | Command::ReportUsage { .. } => {}
         }
     }
 
-    fn add(&mut self, job: &BatchJob) {
+    fn plan(&mut self, job: &BatchJob) {
         if job.is_closed() {
             return;
         }
-        let id = job.id().clone();
-        let items: BTreeMap<_, _> = (0..job.items().len())
-            .filter(|item_index| job.is_open(*item_index))
-            .map(|item_index| (item_index, ItemPlan::default()))
-            .collect();
-        self.ready.extend(
-            items
-                .keys()
-                .map(|item_index| (job.header().deadline, job.header().number, *item_index, id.clone())),
-        );
-        self.retained.insert((job.header().retain_until, id.clone()));
+        let id = job.id();
         let BatchJobHeader { number, deadline, retain_until, max_attempts, .. } = **job.header();
-        self.plans.insert(id, JobPlan { number, deadline, retain_until, max_attempts, items });
+        let open = (0..job.items().len()).filter(|index| job.is_open(*index));
+        let items = open.map(|index| (index, ItemProgress::default())).collect();
+        let plan = JobPlan { number, deadline, retain_until, max_attempts, items };
+        self.ready.extend(plan.items.keys().map(|index| plan.queue_key(id, *index)));
+        self.expiries.insert((retain_until, id.clone()));
+        self.plans.insert(id.clone(), plan);
     }
 
     fn drop_job(&mut self, job: &str) {
-        let index_by_id: Vec<_> =
-            self.plans.get(job).into_iter().flat_map(|plan| plan.items.keys().copied()).collect();
-        index_by_id.into_iter().for_each(|item_index| self.drop_item(job, item_index));
+        let Some(plan) = self.plans.get(job) else { return };
+        let indices: Vec<usize> = plan.items.keys().copied().collect();
+        indices.into_iter().for_each(|index| self.drop_item(job, index));
     }
 
-    fn drop_item(&mut self, job: &str, item_index: usize) {
+    /// Forgets an item, and its batch job with the last one.
+    fn drop_item(&mut self, job: &str, index: usize) {
         let Some((id, _)) = self.plans.get_key_value(job) else { return };
         let id = id.clone();
         let Some(plan) = self.plans.get_mut(job) else { return };
-        if plan.items.remove(&item_index).is_none() {
+        if plan.items.remove(&index).is_none() {
             return;
         }
-        let turn = plan.turn(&id, item_index);
-        self.ready.remove(&turn);
-        self.refused.remove(&turn);
+        let key = plan.queue_key(&id, index);
+        self.ready.remove(&key);
+        self.refused.remove(&key);
         if plan.items.is_empty() {
-            self.retained.remove(&(plan.retain_until, id));
+            self.expiries.remove(&(plan.retain_until, id));
             self.plans.remove(job);
         }
     }
 
-    /// The next item to run; it counts as running until `ended`: the one due first of those that can be in time, as long as runs take
-    /// of late, and then of the others. Where there is too much to do, what is late already makes nothing else late. Nothing is run
-    /// whose time is over. None also where many items have to be passed over; the next call goes on behind them.
+    /// The next item to run. It counts as running until [`Schedule::finish_run`].
+    ///
+    /// Items run by deadline, but those that can meet it, as long as runs take of late, go before the others: where there is too much
+    /// to do, what is late already makes nothing else late. Expired items do not run. Nothing also where many expired items have to be
+    /// skipped; the next call goes on behind them.
     pub fn start_next(&mut self, table: &JobTable, now: Time) -> Option<ItemRun> {
         self.plan_more(table);
-        let (deadline, _, item_index, id) = self.pop_in_time(now)?;
+        let QueueKey { deadline, item_index, job: id, .. } = self.pop_ready(now)?;
         let job = table.jobs.get(&*id)?;
         let item = Item::clone(job.request(item_index)?);
         let last_event = self.plans.get(&id)?.items.get(&item_index)?.last_event;
         self.running.insert((id.to_string(), item.id.clone()), now);
-        let BatchJobHeader { route, host, retain_until, .. } = &**job.header();
-        let (route, host, retain_until) = (route.clone(), host.clone(), *retain_until);
-        Some(ItemRun { job: id.to_string(), route, host, item, last_event, deadline, retain_until })
+        let header = job.header();
+        Some(ItemRun {
+            job: id.to_string(),
+            route: header.route.clone(),
+            host: header.host.clone(),
+            item,
+            last_event,
+            deadline,
+            retain_until: header.retain_until,
+        })
     }
 
-    /// Takes the first ready item that can be in time, or the first one whose time is not over; those before that one are dropped, and
-    /// `overdue` abandons them.
-    fn pop_in_time(&mut self, now: Time) -> Option<Turn> {
-        let earliest_due = now + self.run_time.unwrap_or(0);
-        let timely = self.ready.range((earliest_due, 0, 0, Arc::from(""))..).next().cloned();
-        if let Some(turn) = timely {
-            self.ready.remove(&turn);
-            return Some(turn);
+    /// Takes the first ready item that can meet its deadline, or else the first one that is not expired. Expired ones before it are
+    /// dropped from the queue; [`Schedule::take_proposals`] abandons them.
+    fn pop_ready(&mut self, now: Time) -> Option<QueueKey> {
+        let earliest_deadline = now + self.mean_run_time.unwrap_or(0);
+        let first_timely =
+            QueueKey { deadline: earliest_deadline, job_number: 0, item_index: 0, job: Arc::from("") };
+        let timely = self.ready.range(first_timely..).next().cloned();
+        if let Some(key) = timely {
+            self.ready.remove(&key);
+            return Some(key);
         }
         for _ in 0..MAX_EXPIRED_SKIPPED {
-            let turn = self.ready.pop_first()?;
-            if self.plans.get(&turn.3).is_some_and(|plan| plan.retain_until > now) {
-                return Some(turn);
+            let key = self.ready.pop_first()?;
+            if self.plans.get(&key.job).is_some_and(|plan| plan.retain_until > now) {
+                return Some(key);
             }
         }
         None
     }
 
-    /// A run has ended with these further events (id, data). Gives the command to propose where the item can be listed now; nothing
-    /// where it was listed or its batch job ended meanwhile. Only events with an id over the last one had are taken.
+    /// Takes the events (id, data) and the outcome of a run. Gives the command that finishes the item, to be proposed; nothing where the
+    /// item is to run again, is finished already, or its batch job ended. Events with ids up to the last one are skipped.
     pub fn finish_run(
         &mut self,
         table: &JobTable,
@@ -243,62 +298,49 @@
         job: &str,
         item: &str,
         events: Vec<(u64, Bytes)>,
-        end: RunOutcome,
+        run_outcome: RunOutcome,
     ) -> Option<Command> {
-        let begun = self.running.remove(&(job.to_owned(), item.to_owned()))?;
-        if end == RunOutcome::Complete {
-            self.note_run_time((now - begun).max(0));
+        let started_at = self.running.remove(&(job.to_owned(), item.to_owned()))?;
+        if run_outcome == RunOutcome::Complete {
+            self.observe_run_time((now - started_at).max(0));
         }
-        let item_index = table.jobs.get(job)?.item_index(item)?;
+        let index = table.jobs.get(job)?.item_index(item)?;
         let id = self.plans.get_key_value(job)?.0.clone();
         let plan = self.plans.get_mut(job)?;
-        let turn = plan.turn(&id, item_index);
-        let kept = plan.items.get_mut(&item_index)?;
-        for (event, data) in events {
-            if event > kept.last_event {
-                kept.last_event = event;
-                kept.events.push(data);
-            }
-        }
-        kept.failed = kept.failed.saturating_add(u32::from(end == RunOutcome::Failed));
-        let outcome = match end {
-            RunOutcome::Complete => Some(ItemOutcome::Complete),
-            RunOutcome::Unprocessable => Some(ItemOutcome::Abandoned),
-            RunOutcome::Failed if kept.failed >= plan.max_attempts => Some(ItemOutcome::Abandoned),
-            RunOutcome::Failed | RunOutcome::Interrupted | RunOutcome::NoCapacity => None,
-        };
-        let Some(outcome) = outcome else {
-            if !kept.is_proposed {
-                self.ready.insert(turn);
+        let key = plan.queue_key(&id, index);
+        let progress = plan.items.get_mut(&index)?;
+        progress.add_events(events);
+        let Some(outcome) = progress.outcome_after(&run_outcome, plan.max_attempts) else {
+            if !progress.is_proposed {
+                self.ready.insert(key);
             }
             return None;
         };
-        let text = match outcome {
-            ItemOutcome::Complete => StoredText::new(&std::mem::take(&mut kept.events).join(&b'\n')),
-            ItemOutcome::Abandoned => StoredText::default(),
-        };
-        self.mark_proposed(&id, item_index);
+        let text = progress.take_text(outcome);
+        self.mark_proposed(&id, index);
         Some(Command::FinishItem { job: job.to_owned(), item: item.to_owned(), outcome, text })
     }
 
-    fn note_run_time(&mut self, took: Time) {
-        let mean =
-            self.run_time.map_or(took as f64, |mean| mean as f64 * (1.0 - NEWEST) + took as f64 * NEWEST);
-        self.run_time = Some(mean as Time);
+    fn observe_run_time(&mut self, run_time: Time) {
+        let mean = self.mean_run_time.map_or(run_time as f64, |mean| {
+            mean as f64 * (1.0 - RUN_TIME_WEIGHT) + run_time as f64 * RUN_TIME_WEIGHT
+        });
+        self.mean_run_time = Some(mean as Time);
     }
 
-    /// A command given to be proposed did not get into the log. `overdue` gives it again, unless a later one lists its item.
+    /// Takes back a command that did not get into the log. [`Schedule::take_proposals`] gives it again, unless a later one finishes its
+    /// item.
     pub fn requeue_refused(&mut self, table: &JobTable, command: Command) {
         let Command::FinishItem { job, item, .. } = &command else { return };
-        let Some(item_index) = table.jobs.get(&**job).and_then(|job| job.item_index(item)) else { return };
+        let Some(index) = table.jobs.get(&**job).and_then(|job| job.item_index(item)) else { return };
         let Some((id, plan)) = self.plans.get_key_value(&**job) else { return };
-        if plan.items.contains_key(&item_index) {
-            self.refused.insert(plan.turn(id, item_index), command);
+        if plan.items.contains_key(&index) {
+            self.refused.insert(plan.queue_key(id, index), command);
         }
     }
 
-    /// Commands to propose, [`MOST_OVERDUE`] at most: those that were refused, and one for each item whose time (`retain`) is over,
-    /// to list it as abandoned.
+    /// Commands to propose, [`MAX_PROPOSALS`] at most: those that were refused, and one for each item that is expired (the time is past
+    /// its batch job's `retain_until`), to abandon it.
     pub fn take_proposals(&mut self, table: &JobTable, now: Time) -> Vec<Command> {
         self.plan_more(table);
         let mut commands = Vec::new();
@@ -308,43 +350,40 @@
             commands.push(command);
         }
         while commands.len() < MAX_PROPOSALS
-            && let Some((retain_until, id)) =
-                self.retained.first().filter(|(retain_until, _)| *retain_until <= now).cloned()
+            && let Some(expiry) = self.expiries.first().filter(|(time, _)| *time <= now).cloned()
         {
             let limit = MAX_PROPOSALS - commands.len();
-            let abandoned = self.abandon(table, &id, limit);
+            let abandoned = self.abandon(table, &expiry.1, limit);
             if abandoned.len() < limit {
-                self.retained.remove(&(retain_until, id));
+                self.expiries.remove(&expiry);
             }
             commands.extend(abandoned);
         }
         commands
     }
 
-    /// Commands that abandon items of a batch job which none lists yet, so many at most.
+    /// Commands that abandon items of a batch job which no command finishes yet, `limit` at most.
     fn abandon(&mut self, table: &JobTable, id: &Arc<str>, limit: usize) -> Vec<Command> {
         let Some(job) = table.jobs.get(id) else { return Vec::new() };
         let Some(plan) = self.plans.get(id) else { return Vec::new() };
-        let index_by_id: Vec<usize> = plan.unproposed().take(limit).collect();
-        index_by_id
-            .into_iter()
-            .filter_map(|item_index| {
-                let item = job.items().get(item_index)?.id.to_string();
-                self.mark_proposed(id, item_index);
-                let (outcome, text) = (ItemOutcome::Abandoned, StoredText::default());
-                Some(Command::FinishItem { job: id.to_string(), item, outcome, text })
-            })
-            .collect()
+        let indices: Vec<usize> = plan.unproposed().take(limit).collect();
+        let abandon_item = |index: usize| {
+            let item = job.items().get(index)?.id.to_string();
+            self.mark_proposed(id, index);
+            let (outcome, text) = (ItemOutcome::Abandoned, StoredText::default());
+            Some(Command::FinishItem { job: id.to_string(), item, outcome, text })
+        };
+        indices.into_iter().filter_map(abandon_item).collect()
     }
 
-    /// The item does not run again. What was refused before of it is not proposed again.
-    fn mark_proposed(&mut self, job: &Arc<str>, item_index: usize) {
+    /// The item does not run again, and an earlier command of it is not proposed again.
+    fn mark_proposed(&mut self, job: &Arc<str>, index: usize) {
         let Some(plan) = self.plans.get_mut(job) else { return };
-        let turn = plan.turn(job, item_index);
-        let Some(item) = plan.items.get_mut(&item_index) else { return };
-        item.is_proposed = true;
-        self.ready.remove(&turn);
-        self.refused.remove(&turn);
+        let key = plan.queue_key(job, index);
+        let Some(progress) = plan.items.get_mut(&index) else { return };
+        progress.is_proposed = true;
+        self.ready.remove(&key);
+        self.refused.remove(&key);
     }
 
     /// Runs that have not ended.
