--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -32,6 +32,7 @@
 use crate::disk::{Disk, PartLog, Told};
 use crate::log;
 use crate::peers::Peers;
+
 use crate::settings::{self, Settings};
 use crate::step_times::StepTimes;
 
@@ -58,14 +59,8 @@
     }
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
-    Gateway,
-    Store,
-}
-
 pub struct Node {
-    role: Role,
+    role: ProcessRole,
     clock: Clock,
     coordinator: RefCell<Coordinator>,
     socket: UdpSocket,
@@ -118,12 +113,12 @@
     ///
     /// # Errors
     /// Where settings, sockets or disk cannot be used.
-    pub async fn run(role: Role, settings: Settings, mechanisms: Mechanisms) -> Result<(), Error> {
+    pub async fn run(role: ProcessRole, settings: Settings, mechanisms: Mechanisms) -> Result<(), Error> {
         let clock = Clock::start();
         let (saved, mut on_disk) = mpsc::unbounded_channel::<Told>();
-        let peer = settings.peer();
-        let seeds = settings.seed_peers();
-        let founds = settings.first_boot && role == Role::Gateway && seeds.contains(&peer);
+        let peer = settings.peer_address();
+        let seeds = settings.seed_peer_addresses();
+        let founds = settings.first_boot && role == ProcessRole::Gateway && seeds.contains(&peer);
         let drawn = if founds { founding_id(peer) } else { draw().max(1) };
         let disk_bytes = (settings.limits.disk_mb.max(1.0) * 1e6) as u64;
         let (disk, logs) = match &settings.data_dir {
@@ -139,12 +134,12 @@
             zone: settings.zone.clone(),
             peer_address: peer,
             control_address: control_at,
-            role: if role == Role::Gateway { ProcessRole::Gateway } else { ProcessRole::Store },
+            role,
             disk: disk.as_ref().map(Disk::id),
             first_boot: settings.first_boot,
             seeds,
             tolerated_failures: settings.tolerate.machines as usize,
-            heartbeat_interval: settings.beat_ms as Time * 1000,
+            heartbeat_interval: settings.heartbeat_ms as Time * 1000,
             disk_bytes: disk_bytes as usize,
             memory_bytes: (settings.limits.memory_mb * 1e6) as usize,
             link_bytes_per_second: settings.limits.link_bytes_per_second(),
@@ -217,7 +212,7 @@
             spawn_local(control::serve(node.clone(), listen(at).await?));
         }
         spawn_local(crate::metrics::start(node.clone(), settings.ip));
-        if role == Role::Gateway {
+        if role == ProcessRole::Gateway {
             let front = settings.listen.front.ok_or(Error::Missing("listen.front"))?;
             spawn_local(node.gateway.clone().serve(listen(front).await?, Rc::new(Desk(node.clone()))));
         }
@@ -245,7 +240,7 @@
             }
         }
         log::event("stop", "told to end");
-        if self.role == Role::Gateway {
+        if self.role == ProcessRole::Gateway {
             // Bounded by itself: it ends before the grace does.
             self.gateway.stop().await;
         }
@@ -261,7 +256,7 @@
         let begun = Instant::now();
         let result = what(&mut self.coordinator.borrow_mut(), self.clock.now());
         self.pump();
-        self.steps.ended(step, begun.elapsed());
+        self.steps.record(step, begun.elapsed());
         result
     }
 
@@ -397,7 +392,7 @@
             }
             for _ in 0..BURST {
                 let Ok((length, from)) = self.socket.try_recv_from(&mut buffer) else { break };
-                if !self.peers.faults.may_hear(from) {
+                if !self.peers.faults.may_receive(from) {
                     continue;
                 }
                 if let Ok(payload) = self.envelope.open(&buffer[..length]) {
--- /dev/null
+++ b/crates/tier/src/process.rs
@@ -0,0 +1,3 @@
+//! A gateway or store from its start to its end.
+
+pub use rainlug_coordinator::ProcessRole;
