--- a/crates/coordinator/examples/hollow/mod.rs
+++ b/crates/coordinator/examples/hollow/mod.rs
@@ -316,7 +316,9 @@
     }
 
     pub fn leader(&self, shard: u16) -> Option<usize> {
-        self.members.iter().position(|m| m.coordinator.as_ref().is_some_and(|o| o.leads(shard).0))
+        self.members
+            .iter()
+            .position(|m| m.coordinator.as_ref().is_some_and(|o| o.shard_status(shard).is_leader))
     }
 
     /// Whether a configuration is in force everywhere.
@@ -362,27 +364,27 @@
         match event {
             Event::Datagram { from, bytes, .. } => {
                 self.members[at].spent.received[Kind::Membership as usize] += bytes.len() as u64;
-                self.act(at, |coordinator| coordinator.datagram(now, from, &bytes));
+                self.act(at, |coordinator| coordinator.receive_datagram(now, from, &bytes));
             }
             Event::Frame { from, head, tail, .. } => {
                 let bytes = Bytes::from([head, tail].concat());
                 self.members[at].spent.received[kind(&bytes) as usize] += bytes.len() as u64;
                 self.act(at, |coordinator| {
-                    coordinator.frame(now, from, &bytes).expect("a frame of its own kind")
+                    coordinator.receive_frame(now, from, &bytes).expect("a frame of its own kind")
                 });
             }
             Event::Saved { shard, ticket, .. } => {
-                self.act(at, |coordinator| coordinator.saved(now, shard, ticket, 0))
+                self.act(at, |coordinator| coordinator.persisted(now, shard, ticket, 0))
             }
             Event::Wake { .. } => {
                 self.members[at].wakes = Time::MAX;
-                self.act(at, |coordinator| coordinator.due(now));
+                self.act(at, |coordinator| coordinator.handle_timeout(now));
             }
             Event::Ran { shard, job, item, .. } => {
                 self.items_ran += 1;
                 let events = vec![(1, self.output.clone())];
                 self.act(at, |coordinator| {
-                    coordinator.ran(now, shard, &job, &item, events, RunEnd::Complete)
+                    coordinator.item_finished(now, shard, &job, &item, events, RunEnd::Complete)
                 });
             }
             Event::Heartbeat { .. } => {}
@@ -392,7 +394,7 @@
     /// Carries out what the core of a member wants.
     fn after(&mut self, at: usize) {
         let Some(coordinator) = self.members[at].coordinator.as_mut() else { return };
-        let effects = coordinator.take();
+        let effects = coordinator.take_effects();
         let (from, life) = (self.members[at].at, self.members[at].life);
         for effect in effects {
             match effect {
@@ -412,12 +414,12 @@
                     let (due, life) = (*order, self.members[to].life);
                     self.push(due, Event::Frame { to, life, from, head, tail });
                 }
-                Effect::Save { shard, ticket, records } => self.save(at, shard, ticket, &records, false),
+                Effect::Append { shard, ticket, records } => self.save(at, shard, ticket, &records, false),
                 Effect::Rewrite { shard, ticket, records, .. } => {
                     let records: Vec<Bytes> = records.iter().collect();
                     self.save(at, shard, ticket, &records, true);
                 }
-                Effect::Renew { .. } => {}
+                Effect::ReplaceDiskIdentity { .. } => {}
                 Effect::Answer { ticket, answer } => self.answered(ticket, answer),
                 Effect::Configuration { version, .. } => {
                     let watch = self.configurations.entry(version).or_default();
@@ -432,15 +434,15 @@
                         watch.last = self.now;
                     }
                 }
-                Effect::Run { shard, next } => {
+                Effect::RunItem { shard, next } => {
                     let (job, item) = (next.job, next.item.id);
                     self.push(self.now + self.run_time, Event::Ran { at, life, shard, job, item });
                 }
-                Effect::Others(_) | Effect::Reports(_) | Effect::Log(..) => {}
+                Effect::PeerCount(_) | Effect::Reports(_) | Effect::Log(..) => {}
             }
         }
         let member = &mut self.members[at];
-        let next = member.coordinator.as_ref().map_or(Time::MAX, Coordinator::next);
+        let next = member.coordinator.as_ref().map_or(Time::MAX, Coordinator::next_timeout);
         if next < member.wakes {
             member.wakes = next;
             self.push(next.max(self.now), Event::Wake { at, life });
--- a/crates/coordinator/src/admission.rs
+++ b/crates/coordinator/src/admission.rs
@@ -5,7 +5,7 @@
 use rainlug_batch::Command;
 
 use crate::capacity::{self, Bounds, Refusal, Refusals, ShardUsage, Usage};
-use crate::quota::Submitting;
+use crate::quota::Submission;
 use crate::shard::Shard;
 use crate::{Answer, BATCH_SHARDS, CONTROL, Coordinator, Effect, Origin};
 
@@ -42,11 +42,11 @@
 
     /// What this process has in use.
     fn usage(&self) -> Usage {
-        let submitting = self.shards.values().flat_map(|shard| shard.submitting.values());
+        let submission = self.shards.values().flat_map(|shard| shard.submissions.values());
         let kept = self.shards.values().filter(|shard| !shard.replica.is_vacant());
         Usage {
             shards: kept.map(shard_usage).collect(),
-            proposed: submitting.map(|submitting| submitting.bytes).sum(),
+            proposed: submission.map(|submission| submission.bytes).sum(),
             shards_to_absorb: self.shards_to_absorb(),
         }
     }
@@ -76,7 +76,7 @@
     fn uncommitted_bytes(&self) -> usize {
         let led = self.shards.values().filter(|shard| shard.replica.is_elected());
         let bytes = led.map(|shard| {
-            let reserving: usize = shard.submitting.values().map(Submitting::bytes_to_propose).sum();
+            let reserving: usize = shard.submissions.values().map(Submission::bytes_to_propose).sum();
             shard.replica.uncommitted_bytes() + reserving
         });
         bytes.sum()
@@ -96,7 +96,7 @@
             self.forget_when_full();
         }
         let is_rewriting = self.rewrite_where_due();
-        self.reply(origin, Answer::later(503, self.retry_after(refusal, is_rewriting)));
+        self.reply(origin, Answer::retry_after(503, self.retry_after(refusal, is_rewriting)));
     }
 
     /// When there may be room again: after a stall or a rewrite, or else once batch jobs are forgotten.
@@ -118,7 +118,7 @@
         let leads = |(number, shard): (&u16, &Shard)| shard.schedule.is_some().then_some(*number);
         let led: Vec<u16> = self.shards.iter().filter_map(leads).collect();
         for number in led {
-            self.propose_quietly(number, vec![Command::Forget { before }]);
+            self.propose_unattended(number, vec![Command::Forget { before }]);
         }
     }
 
@@ -130,9 +130,9 @@
         for number in numbers {
             let Some(shard) = self.shards.get_mut(&number) else { continue };
             if bounds.is_rewrite_due(&usage, &shard.log_use()) && shard.disk.may_ask_rewrite(now) {
-                shard.compact_wanted = true;
+                shard.is_snapshot_wanted = true;
                 is_asked = true;
-                self.drain(number);
+                self.process_output(number);
             }
         }
         is_asked
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use rainlug::Time;
-use rainlug_consensus::{MemberId, Records};
+use rainlug_consensus::{Member, MemberId, Records};
 use rainlug_registry::{Worker, WorkerReport};
 
 /// A call of a client, worker or operator; answered by [`Effect::Answer`].
@@ -15,7 +15,7 @@
     Configure { base: u64, text: Bytes },
     Configuration,
     Retire { store: String },
-    Retiring { store: String },
+    RetirementStatus { store: String },
     Submit { job: String, route: String, body: Bytes },
     Read { job: String, since: u64, wait: Time },
     Body { job: String, item: String },
@@ -25,22 +25,22 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     pub status: u16,
-    pub retry: Option<Time>,
-    pub json: bool,
+    pub retry_after: Option<Time>,
+    pub is_json: bool,
     pub body: Bytes,
 }
 
 impl Answer {
-    pub fn of(status: u16) -> Self {
-        Answer { status, retry: None, json: false, body: Bytes::new() }
+    pub fn with_status(status: u16) -> Self {
+        Answer { status, retry_after: None, is_json: false, body: Bytes::new() }
     }
 
     pub fn json(status: u16, body: impl Into<Bytes>) -> Self {
-        Answer { status, retry: None, json: true, body: body.into() }
+        Answer { status, retry_after: None, is_json: true, body: body.into() }
     }
 
-    pub(crate) fn later(status: u16, retry: Time) -> Self {
-        Answer { status, retry: Some(retry), json: false, body: Bytes::new() }
+    pub(crate) fn retry_after(status: u16, delay: Time) -> Self {
+        Answer { status, retry_after: Some(delay), is_json: false, body: Bytes::new() }
     }
 }
 
@@ -57,13 +57,13 @@
         head: Bytes,
         tail: Bytes,
     },
-    /// Appended to the part's log and synced; then [`Coordinator::saved`].
-    Save {
+    /// Appended to the part's log and synced; then [`Coordinator::persisted`].
+    Append {
         shard: u16,
         ticket: u64,
         records: Vec<Bytes>,
     },
-    /// In place of all that the log holds; then [`Coordinator::saved`]. The first `implied` follow from what it holds: the others,
+    /// In place of all that the log holds; then [`Coordinator::persisted`]. The first `implied` follow from what it holds: the others,
     /// appended, do as well. The records are encoded while they are written.
     Rewrite {
         shard: u16,
@@ -72,7 +72,7 @@
         implied: usize,
     },
     /// The disk gets this identity, and what it held of parts of batch jobs is dropped.
-    Renew {
+    ReplaceDiskIdentity {
         disk: MemberId,
     },
     Answer {
@@ -86,11 +86,11 @@
     },
     Worker(Worker),
     /// Others that send requests to workers.
-    Others(usize),
+    PeerCount(usize),
     /// What all processes saw of workers of late.
     Reports(Vec<WorkerReport>),
-    /// An item of a batch job to be run at a worker; then [`Coordinator::ran`].
-    Run {
+    /// An item of a batch job to be run at a worker; then [`Coordinator::item_finished`].
+    RunItem {
         shard: u16,
         next: rainlug_batch::Next,
     },
@@ -104,3 +104,14 @@
     pub steady: Time,
     pub wall: Time,
 }
+
+/// A shard as this process sees it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ShardStatus {
+    /// This process leads the shard.
+    pub is_leader: bool,
+    /// Where the leader hears its peers, if it is known.
+    pub leader: Option<SocketAddr>,
+    /// The shard's members; empty where this process has no replica of it.
+    pub members: Vec<Member>,
+}
--- a/crates/coordinator/src/batch_shard.rs
+++ b/crates/coordinator/src/batch_shard.rs
@@ -6,8 +6,8 @@
 use rainlug_registry::Kind;
 
 use crate::invariants::Invariant;
-use crate::quota::Submitting;
-use crate::shard::{Machine, Wanted};
+use crate::quota::Submission;
+use crate::shard::{ReadQuery, StateMachine};
 use crate::{Answer, Coordinator, Effect, Origin, capacity, shard_of_job};
 
 /// Items that a leader has running, at most; which of them find room at workers is decided by each pick.
@@ -28,11 +28,11 @@
         let wall = self.now.wall;
         let Some(shard) = self.shards.get_mut(&number) else { return };
         if number != shard_of_job(&job) {
-            return self.reply(origin, Answer::of(400));
+            return self.reply(origin, Answer::with_status(400));
         }
         // The same one again, before the first is agreed on: one answer for both, and its bytes but once.
-        if let Some(submitting) = shard.submitting.get_mut(&job) {
-            return submitting.origins.push(origin);
+        if let Some(submission) = shard.submissions.get_mut(&job) {
+            return submission.origins.push(origin);
         }
         let Some(register) = shard.register() else { return };
         // What is in the register is agreed on, whoever leads now.
@@ -40,11 +40,11 @@
             return self.reply(origin, Answer::json(202, "{}"));
         }
         let Some(configuration) = &self.configuration else {
-            return self.reply(origin, Answer::later(503, SECOND / 2));
+            return self.reply(origin, Answer::retry_after(503, SECOND / 2));
         };
         let Some(route) = configuration.routes.iter().find(|r| r.name == route && r.kind == Kind::Bulk)
         else {
-            return self.reply(origin, Answer::later(503, SECOND / 2));
+            return self.reply(origin, Answer::retry_after(503, SECOND / 2));
         };
         let items = match read_requests(&body) {
             Ok(items) => items,
@@ -71,21 +71,28 @@
             items,
         };
         let (route, most) = (route.name.clone(), route.max_queued_tokens);
-        let submitting = Submitting::new(route, tokens, bytes, origin, command.encode());
-        self.reserve_tokens(number, &job, submitting, most);
+        let submission = Submission::new(route, tokens, bytes, origin, command.encode());
+        self.reserve_tokens(number, &job, submission, most);
     }
 
-    pub(crate) fn end(&mut self, number: u16, origin: Origin, job: String) {
+    pub(crate) fn end_job(&mut self, number: u16, origin: Origin, job: String) {
         let wall = self.now.wall;
         let Some(register) = self.shards.get(&number).and_then(|p| p.register()) else { return };
         if !register.knows(&job) {
             // Only after a round is that sure.
-            return self.read(number, origin, Wanted::Body { job, item: String::new() });
+            return self.begin_read(number, origin, ReadQuery::Body { job, item: String::new() });
         }
         self.propose(number, origin, Command::End { job, at: wall }.encode());
     }
 
-    pub(crate) fn show_job(&mut self, number: u16, origin: Origin, job: String, since: u64, until: Time) {
+    pub(crate) fn answer_job_read(
+        &mut self,
+        number: u16,
+        origin: Origin,
+        job: String,
+        since: u64,
+        until: Time,
+    ) {
         let now = self.now.steady;
         let Some(shard) = self.shards.get_mut(&number) else { return };
         let Some(register) = shard.register() else { return };
@@ -93,24 +100,27 @@
             Some(false) if until > now => shard.polls.push((origin, job, since, until)),
             _ => {
                 let answer = register.read(&job, since);
-                self.reply(origin, answer.map_or(Answer::of(404), |(text, _)| Answer::json(200, text)));
+                self.reply(
+                    origin,
+                    answer.map_or(Answer::with_status(404), |(text, _)| Answer::json(200, text)),
+                );
             }
         }
     }
 
     /// A command of a part of batch jobs is agreed on; `mine` is who waits for it, and whether it is what was proposed.
-    pub(crate) fn jobs_committed(&mut self, number: u16, bytes: &Bytes, mine: Option<(bool, Origin)>) {
+    pub(crate) fn apply_batch_command(&mut self, number: u16, bytes: &Bytes, mine: Option<(bool, Origin)>) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        let Machine::BatchJobs(register) = &mut shard.machine else { return };
+        let StateMachine::BatchJobs(register) = &mut shard.state_machine else { return };
         let Ok(command) = Command::decode(bytes) else {
             return self.violated(Invariant::CommandRead, &format_args!("part {number}"));
         };
         if let Some(booked) = shard.quota_ledger.apply(&command) {
-            return self.booked(number, booked, mine);
+            return self.finish_ledger_command(number, booked, mine);
         }
         let applied = register.apply(&command);
         let others = match &command {
-            Command::Submit { job, .. } => shard.submitting.remove(job).map_or(Vec::new(), |s| s.origins),
+            Command::Submit { job, .. } => shard.submissions.remove(job).map_or(Vec::new(), |s| s.origins),
             _ => Vec::new(),
         };
         if let Some(reports) = &mut shard.reports {
@@ -135,20 +145,22 @@
         let answer = match applied {
             Applied::Accepted | Applied::Known => Answer::json(202, "{}"),
             // The ledger granted it: a submission here names no limit.
-            Applied::OverQuota => Answer::later(429, SECOND / 2),
+            Applied::OverQuota => Answer::retry_after(429, SECOND / 2),
             Applied::Ended | Applied::Listed { .. } => Answer::json(200, "{}"),
-            Applied::Nothing => Answer::of(if matches!(command, Command::End { .. }) { 404 } else { 200 }),
+            Applied::Nothing => {
+                Answer::with_status(if matches!(command, Command::End { .. }) { 404 } else { 200 })
+            }
         };
         others.into_iter().for_each(|other| self.reply(other, answer.clone()));
         match mine {
             Some((true, origin)) => self.reply(origin, answer),
-            Some((false, origin)) => self.send_proposed_elsewhere(number, origin),
+            Some((false, origin)) => self.redirect_proposed(number, origin),
             None => {}
         }
     }
 
     /// Reads that waited for an output long enough are answered without one.
-    pub(crate) fn poll(&mut self) {
+    pub(crate) fn expire_polls(&mut self) {
         let now = self.now.steady;
         for number in self.shards.keys().copied().collect::<Vec<u16>>() {
             let Some(shard) = self.shards.get_mut(&number) else { continue };
@@ -159,65 +171,69 @@
                 std::mem::take(&mut shard.polls).into_iter().partition(|p| p.3 <= now);
             shard.polls = rest;
             for (origin, job, since, until) in over {
-                self.show_job(number, origin, job, since, until);
+                self.answer_job_read(number, origin, job, since, until);
             }
         }
     }
 
     /// Begins items where this process leads, and lists what is overdue.
     pub(crate) fn run_items(&mut self) {
-        self.poll();
+        self.expire_polls();
         for number in self.shards.keys().copied().collect::<Vec<u16>>() {
-            self.begin_item(number);
-            self.list_overdue(number);
+            self.start_item(number);
+            self.finish_overdue_items(number);
         }
     }
 
-    fn begin_item(&mut self, number: u16) {
+    fn start_item(&mut self, number: u16) {
         let (now, wall) = (self.now.steady, self.now.wall);
         let Some(shard) = self.shards.get_mut(&number) else { return };
         // After each event: nothing is summed up for parts that are not led here, nor while a pause lasts.
-        if shard.schedule.is_none() || shard.pause > now {
+        if shard.schedule.is_none() || shard.next_item_at > now {
             return;
         }
-        shard.pause = 0;
+        shard.next_item_at = 0;
         // What is held back goes on with the next word of a disk or a member.
         if self.holds_items_back(number) {
             return;
         }
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        let (Machine::BatchJobs(register), Some(schedule)) = (&shard.machine, shard.schedule.as_mut()) else {
+        let (StateMachine::BatchJobs(register), Some(schedule)) =
+            (&shard.state_machine, shard.schedule.as_mut())
+        else {
             return;
         };
         if schedule.running() < RUNNING
             && let Some(next) = schedule.next(register, wall)
         {
-            self.effects.push(Effect::Run { shard: number, next });
+            self.effects.push(Effect::RunItem { shard: number, next });
             // One at a time: the next one is begun as soon as this one has found its worker.
-            shard.pause = now + BETWEEN;
+            shard.next_item_at = now + BETWEEN;
         }
     }
 
-    fn list_overdue(&mut self, number: u16) {
+    fn finish_overdue_items(&mut self, number: u16) {
         let (now, wall) = (self.now.steady, self.now.wall);
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        let (Machine::BatchJobs(register), Some(schedule)) = (&shard.machine, shard.schedule.as_mut()) else {
+        let (StateMachine::BatchJobs(register), Some(schedule)) =
+            (&shard.state_machine, shard.schedule.as_mut())
+        else {
             return;
         };
-        if now - shard.swept < SWEEP {
+        if now - shard.last_sweep < SWEEP {
             return;
         }
-        let forget = now / FORGET != shard.swept / FORGET;
-        shard.swept = now;
+        let forget = now / FORGET != shard.last_sweep / FORGET;
+        shard.last_sweep = now;
         let mut commands = schedule.overdue(register, wall);
         if forget && register.size() > 0 {
             commands.push(Command::Forget { before: wall - self.info.job_retention });
         }
-        self.propose_quietly(number, commands);
+        self.propose_unattended(number, commands);
     }
 
     /// Proposes commands that nobody waits for. The schedule keeps those that are refused.
-    pub(crate) fn propose_quietly(&mut self, number: u16, commands: Vec<Command>) {
+    pub(crate) fn propose_unattended(&mut self, number: u16, commands: Vec<Command>) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
         if commands.is_empty() {
             return;
@@ -225,16 +241,16 @@
         for command in commands {
             let proposed = shard.replica.propose(self.now.steady, command.encode());
             if proposed.is_err()
-                && let (Machine::BatchJobs(register), Some(schedule)) =
-                    (&shard.machine, shard.schedule.as_mut())
+                && let (StateMachine::BatchJobs(register), Some(schedule)) =
+                    (&shard.state_machine, shard.schedule.as_mut())
             {
                 schedule.refused(register, command);
             }
         }
-        self.drain(number);
+        self.process_output(number);
     }
 
-    pub(crate) fn item_ran(
+    pub(crate) fn finish_item(
         &mut self,
         number: u16,
         job: &str,
@@ -244,14 +260,16 @@
     ) {
         let (now, wall) = (self.now.steady, self.now.wall);
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        let (Machine::BatchJobs(register), Some(schedule)) = (&shard.machine, shard.schedule.as_mut()) else {
+        let (StateMachine::BatchJobs(register), Some(schedule)) =
+            (&shard.state_machine, shard.schedule.as_mut())
+        else {
             return;
         };
         if end == RunEnd::NoRoom {
-            shard.pause = now + NO_ROOM;
+            shard.next_item_at = now + NO_ROOM;
         }
         if let Some(command) = schedule.ended(register, wall, job, item, events, end) {
-            self.propose_quietly(number, vec![command]);
+            self.propose_unattended(number, vec![command]);
         }
     }
 }
--- a/crates/coordinator/src/calls.rs
+++ b/crates/coordinator/src/calls.rs
@@ -1,465 +1,260 @@
-//! Calls: from callers of this process to the leaders of parts, asked again of the next leader until there is an answer or no
-//! time; and, where this process leads, from others.
+//! Calls from this process to the leaders of shards, for its own callers, for other processes, and for itself.
+//!
+//! A call is attempted at one member after the other until a leader answers or its deadline passes. An answer is never a promise
+//! that does not hold: once an attempt may have been proposed somewhere, a later attempt's "not executed" is not passed on.
+//!
+//! - [`client`]: the calls of clients, workers and operators, as calls to shards;
+//! - [`attempts`]: whom an attempt goes to, retries, and deadlines;
+//! - [`redirects`]: what "not leader" means for a call;
+//! - [`relays`]: calls by way of another process, where the leader cannot be reached from here.
 
+mod attempts;
+mod client;
+mod redirects;
+mod relays;
+
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
-use rainlug_registry::Configuration;
-use rand::seq::IndexedRandom;
 
-use crate::frame::{Head, PeerAddress, Request, join, split};
-use crate::quota::Reserved;
-use crate::{Answer, CONTROL, Call, Coordinator, Effect, Now, Origin, shard_of_job};
+use crate::frame::{Request, join};
+use crate::{Answer, Coordinator, Effect, Origin};
 
-/// A try at a leader that is not answered in this time goes to another member.
-const TRY: Time = 4 * SECOND / 10;
-/// The same for a question that takes no time, as who leads.
-const LOCATE_TRY: Time = SECOND / 4;
-/// A pause between tries where nobody leads.
-const PAUSE: Time = SECOND / 20;
-/// How long a part's leader may take over a batch job: it waits for its tokens, and for its group.
-const SUBMIT_SLACK: Time = 8 * SECOND / 10;
-/// Callers of `control` move on after a second.
-const PATIENCE: Time = 8 * SECOND / 10;
-/// How long a process that is cut off tries: its callers are better served elsewhere.
-const ISOLATED_PATIENCE: Time = SECOND / 4;
-/// A caller of a process that so many members of a part in a row did not answer is better served by another process: this one cannot
-/// reach them, or not be reached by them. Where it is a leader that is lost, the others answer that they do not lead.
-const SILENT_TRIES: usize = 2;
-/// How long another process's call is asked on, at most.
-const RELAYED_WITHIN: Time = 4 * SECOND;
+/// How long an attempt waits for an answer before the next member is tried, beside the time that the leader may wait itself.
+const ATTEMPT_TIMEOUT: Time = 4 * SECOND / 10;
+/// The pause before the next attempt where nobody is known to lead.
+const NO_LEADER_PAUSE: Time = SECOND / 20;
+/// The longest that a call of an isolated process is attempted: its callers are better served by another process.
+const ISOLATED_TIMEOUT: Time = SECOND / 4;
+/// When a caller may come back after an answer without effect.
+const RETRY_AFTER: Time = SECOND / 5;
+/// The answer where nothing is known to have taken effect.
+const UNAVAILABLE: u16 = 503;
+/// The answer to a call that must not be repeated and may still take effect.
+const MAY_TAKE_EFFECT: u16 = 504;
 /// Statuses that promise that a call has no effect.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
-/// The answer to a call that cannot be repeated and may take effect yet.
-const MAYBE: u16 = 504;
-/// A longer tail is sent only to who has just said that it leads.
-const LONG_TAIL: usize = 4 << 10;
+const NO_EFFECT_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Whom the answer of a call to a part goes to.
+/// What becomes of the answer to a call to a shard.
 #[derive(Clone, Debug)]
-pub(crate) enum Goal {
+pub(crate) enum CallCompletion {
+    /// It answers the caller with this ticket.
     Caller(u64),
-    /// A batch job of this part, which is proposed once its tokens are reserved.
-    Reservation {
-        shard: u16,
-        job: String,
-    },
-    /// This part's leader, which reports the tokens of a route.
-    Report {
-        shard: u16,
-        route: String,
-    },
-    /// Another process, which cannot reach the leader itself.
-    Relayed {
-        to: SocketAddr,
-        nonce: u64,
-    },
-    /// Nobody: it is this process's own duty, which is done again until its effect is seen.
-    Nobody,
+    /// It grants or refuses the tokens of a batch job of this shard, which is proposed once they are reserved.
+    Reservation { shard: u16, job: String },
+    /// It acknowledges this shard's usage report on a route.
+    UsageReport { shard: u16, route: String },
+    /// It goes back to another process, which cannot reach the leader itself.
+    Relayed { to: SocketAddr, nonce: u64 },
+    /// It is dropped: the call belongs to this process's maintenance, which repeats it until its effect is seen.
+    Ignored,
 }
 
-/// A call that a part's leader has not answered yet.
-pub(crate) struct Ask {
+/// A call to the leader of a shard.
+#[derive(Clone, Debug)]
+pub(crate) struct CallRequest {
     pub shard: u16,
-    request: Bytes,
-    tail: Bytes,
-    goal: Goal,
-    /// How long the leader itself may wait.
-    slack: Time,
-    begun: Time,
-    deadline: Time,
-    try_at: Time,
-    tries: usize,
-    to: Option<SocketAddr>,
-    /// Who was tried last and did not answer in time: others may still name it as the leader.
-    silent: Option<SocketAddr>,
-    /// Tries in a row that nobody answered.
-    silent_tries: usize,
-    hops: usize,
-    /// Who was asked last was asked only whether it leads.
-    is_locating: bool,
-    /// The call itself was sent to somebody.
-    is_sent: bool,
-    /// Who has said that it leads.
-    confirmed: Option<SocketAddr>,
-    /// An earlier try may take effect yet: it had no answer, or its leader was replaced.
-    is_unresolved: bool,
-    /// What is answered where no time is left and it may have taken effect, or was never heard by a leader.
-    unclear: u16,
+    /// The encoded [`Request`].
+    pub request: Bytes,
+    /// Bytes that are passed on behind the request as they are.
+    pub tail: Bytes,
+    pub completion: CallCompletion,
+    /// How long the call is attempted, in microseconds.
+    pub timeout: Time,
+    /// How long the leader may wait before it answers, beside the time of an ordinary attempt, in microseconds.
+    pub leader_wait: Time,
+    /// The status where time ran out and the call may have taken effect.
+    pub unclear_status: u16,
 }
 
-impl Ask {
-    pub fn next(&self) -> Time {
-        self.try_at.min(self.deadline)
+impl CallRequest {
+    /// A call without a tail, which may be repeated and which the leader answers at once.
+    pub fn new(shard: u16, request: &Request, completion: CallCompletion, timeout: Time) -> Self {
+        let (request, tail) = (join(request, &[]), Bytes::new());
+        let unclear_status = UNAVAILABLE;
+        CallRequest { shard, request, tail, completion, timeout, leader_wait: 0, unclear_status }
     }
 
-    /// Whether another process is to ask in this one's place: who was asked last did not answer.
-    fn wants_relay(&self) -> bool {
-        matches!(self.goal, Goal::Caller(_)) && self.silent_tries > 0
+    /// A call of this process's own maintenance.
+    pub fn internal(shard: u16, request: &Request, timeout: Time) -> Self {
+        CallRequest::new(shard, request, CallCompletion::Ignored, timeout)
     }
+}
 
-    /// Whether its caller had better ask another process: nobody answers here, and nothing was sent that may take effect yet.
-    fn is_unheard(&self) -> bool {
-        let may_take_effect = self.unclear == MAYBE && self.is_sent;
-        matches!(self.goal, Goal::Caller(_)) && self.silent_tries >= SILENT_TRIES && !may_take_effect
-    }
+/// A call that a shard's leader has not answered yet. All times are of the steady clock.
+pub(crate) struct PendingCall {
+    call: CallRequest,
+    started_at: Time,
+    deadline: Time,
+    next_attempt_at: Time,
+    /// Attempts made so far.
+    attempts: usize,
+    /// Whom the last attempt went to; none once that attempt has failed.
+    target: Option<SocketAddr>,
+    /// Who did not answer the last attempt in time: others may still name it as the leader.
+    unresponsive: Option<SocketAddr>,
+    /// Attempts in a row that nobody answered.
+    unanswered_attempts: usize,
+    /// Redirects followed in a row.
+    redirects: usize,
+    /// The last attempt only asked its target whether it leads.
+    is_locating: bool,
+    /// The call itself, not only the question who leads, was sent to somebody.
+    is_sent: bool,
+    /// Who has said that it leads.
+    confirmed_leader: Option<SocketAddr>,
+    /// An earlier attempt may still take effect: it had no answer, or its leader was replaced.
+    is_unresolved: bool,
 }
 
-impl Coordinator {
-    /// A call of a client, worker or operator, answered by [`Effect::Answer`] with this ticket.
-    pub fn call(&mut self, now: Now, ticket: u64, call: Call) {
-        self.now = now;
-        match call {
-            Call::Heartbeat(worker) => self.heartbeat(ticket, worker),
-            Call::Deregister(id) => self.deregister(ticket, id),
-            Call::Configure { base, text } => match Configuration::read(&text) {
-                Err(findings) => {
-                    let error = findings.to_string().replace('\\', "\\\\").replace('"', "\\\"");
-                    self.answer(ticket, Answer::json(400, format!("{{\"error\":\"{error}\"}}")));
-                }
-                Ok(_) => self.ask(
-                    CONTROL,
-                    &Request::Configure { base },
-                    text,
-                    Goal::Caller(ticket),
-                    PATIENCE,
-                    0,
-                    503,
-                ),
-            },
-            Call::Configuration => {
-                self.ask(
-                    CONTROL,
-                    &Request::Configuration,
-                    Bytes::new(),
-                    Goal::Caller(ticket),
-                    PATIENCE,
-                    0,
-                    503,
-                );
-            }
-            Call::Retire { store } => {
-                let request = Request::Retire { store: store.as_str().into() };
-                self.ask(CONTROL, &request, Bytes::new(), Goal::Caller(ticket), PATIENCE, 0, 503);
-            }
-            Call::Retiring { store } => {
-                let request = Request::Retiring { store: store.as_str().into() };
-                self.ask(CONTROL, &request, Bytes::new(), Goal::Caller(ticket), PATIENCE, 0, 503);
-            }
-            Call::Submit { job, route, body } => {
-                let request = Request::Submit { job: job.as_str().into(), route: route.as_str().into() };
-                let shard = shard_of_job(&job);
-                self.ask(shard, &request, body, Goal::Caller(ticket), 3 * SECOND, SUBMIT_SLACK, MAYBE);
-            }
-            Call::Read { job, since, wait } => {
-                let wait = wait.clamp(0, 2 * SECOND);
-                let request =
-                    Request::Read { job: job.as_str().into(), since, wait_ms: (wait / 1000) as u32 };
-                self.call_batch_shard(ticket, &job, &request, wait);
-            }
-            Call::Body { job, item } => {
-                let request = Request::Body { job: job.as_str().into(), item: item.as_str().into() };
-                self.call_batch_shard(ticket, &job, &request, 0);
-            }
-            Call::End { job } => {
-                let request = Request::End { job: job.as_str().into() };
-                self.call_batch_shard(ticket, &job, &request, 0);
-            }
+impl PendingCall {
+    fn new(call: CallRequest, now: Time) -> Self {
+        PendingCall {
+            started_at: now,
+            deadline: now + call.timeout,
+            next_attempt_at: 0,
+            attempts: 0,
+            target: None,
+            unresponsive: None,
+            unanswered_attempts: 0,
+            redirects: 0,
+            is_locating: false,
+            is_sent: false,
+            confirmed_leader: None,
+            is_unresolved: false,
+            call,
         }
-        self.settle();
     }
 
-    pub(crate) fn answer(&mut self, ticket: u64, answer: Answer) {
-        self.effects.push(Effect::Answer { ticket, answer });
+    fn next_timeout(&self) -> Time {
+        self.next_attempt_at.min(self.deadline)
     }
 
-    /// A call about a batch job goes to the part that it is in.
-    fn call_batch_shard(&mut self, ticket: u64, job: &str, request: &Request, wait: Time) {
-        let (shard, goal) = (shard_of_job(job), Goal::Caller(ticket));
-        self.ask(shard, request, Bytes::new(), goal, 2 * SECOND + wait, wait, 503);
+    fn is_from_caller(&self) -> bool {
+        matches!(self.call.completion, CallCompletion::Caller(_))
     }
 
-    /// Asks a part's leader; one try after the other until the deadline.
-    #[allow(clippy::too_many_arguments)]
-    pub(crate) fn ask(
-        &mut self,
-        shard: u16,
-        request: &Request,
-        tail: Bytes,
-        goal: Goal,
-        within: Time,
-        slack: Time,
-        unclear: u16,
-    ) {
-        self.ask_encoded(shard, join(request, &[]), tail, goal, within, slack, unclear);
+    /// Whether its caller must not be told that it has no effect once it was sent.
+    fn is_unrepeatable(&self) -> bool {
+        self.call.unclear_status == MAY_TAKE_EFFECT
     }
 
-    #[allow(clippy::too_many_arguments)]
-    fn ask_encoded(
-        &mut self,
-        shard: u16,
-        request: Bytes,
-        tail: Bytes,
-        goal: Goal,
-        within: Time,
-        slack: Time,
-        unclear: u16,
-    ) {
-        self.nonce += 1;
-        let nonce = self.nonce;
-        let leads = self.shards.get(&shard).is_some_and(|p| p.replica.leads());
-        let within =
-            if self.is_isolated(self.now) && !leads { within.min(ISOLATED_PATIENCE) } else { within };
-        let ask = Ask {
-            shard,
-            request,
-            tail,
-            goal,
-            slack,
-            begun: self.now.steady,
-            deadline: self.now.steady + within,
-            try_at: 0,
-            tries: 0,
-            to: None,
-            silent: None,
-            silent_tries: 0,
-            hops: 0,
-            is_locating: false,
-            is_sent: false,
-            confirmed: None,
-            is_unresolved: false,
-            unclear,
-        };
-        self.asks.insert(nonce, ask);
-        self.attempt(nonce);
+    /// What the caller is told when an answer has come: an answer to a later attempt that promises no effect says nothing of the
+    /// earlier ones.
+    fn final_answer(&self, answer: Answer) -> Answer {
+        let breaks_promise = self.is_unresolved && NO_EFFECT_STATUSES.contains(&answer.status);
+        if breaks_promise && self.is_unrepeatable() { Answer::with_status(MAY_TAKE_EFFECT) } else { answer }
     }
 
-    /// Where a part's members hear their peers, as far as this process knows.
-    fn seats(&self, number: u16) -> Vec<SocketAddr> {
-        let known: Vec<SocketAddr> = if number == CONTROL {
-            self.topology.core.iter().map(|s| s.at.into()).collect()
-        } else {
-            let group = self.topology.groups.iter().find(|g| g.shard == number);
-            group.map(|g| g.members.iter().map(|s| s.at.into()).collect()).unwrap_or_default()
-        };
-        if known.is_empty() && number == CONTROL { self.info.seeds.clone() } else { known }
+    /// What the caller is told when time has run out.
+    fn timeout_answer(&self) -> Answer {
+        let status = if self.is_sent { self.call.unclear_status } else { UNAVAILABLE };
+        let retry_after = (status == UNAVAILABLE).then_some(RETRY_AFTER);
+        Answer { retry_after, ..Answer::with_status(status) }
     }
+}
 
-    /// A process that another one's calls may go by: it takes requests, and is none of the core, which may be cut off together.
-    fn relay_for(&mut self, shard: u16) -> Option<SocketAddr> {
-        let core: Vec<SocketAddr> = self.topology.core.iter().map(|seat| seat.at.into()).collect();
-        let living = self.living.iter().filter(|(at, (is_gateway, _))| *is_gateway && !core.contains(at));
-        let gateways: Vec<SocketAddr> = living.map(|(at, _)| *at).collect();
-        gateways.choose(&mut self.rng).copied().filter(|_| shard != CONTROL && self.info.relays)
-    }
+/// The calls to shards that are under way, and what they have shown of the shards' leaders.
+pub(crate) struct Calls {
+    /// By the nonce that answers name.
+    pending: BTreeMap<u64, PendingCall>,
+    last_nonce: u64,
+    /// Who last answered for, or was named as the leader of, each shard.
+    leader_hints: BTreeMap<u16, SocketAddr>,
+}
 
-    /// Sends a call that nobody answered by way of another process, where there is one.
-    fn relay(&mut self, nonce: u64) -> bool {
-        let now = self.now.steady;
-        let Some(shard) = self.asks.get(&nonce).filter(|ask| ask.wants_relay()).map(|ask| ask.shard) else {
-            return false;
-        };
-        let Some(relay) = self.relay_for(shard) else { return false };
-        let Some(ask) = self.asks.get_mut(&nonce) else { return false };
-        let milliseconds = |time: Time| u32::try_from(time.max(0) / 1_000).unwrap_or(u32::MAX);
-        let (within, slack, unclear) = (ask.deadline - now, ask.slack, ask.unclear);
-        let (within_ms, slack_ms) = (milliseconds(within), milliseconds(slack));
-        (ask.to, ask.try_at) = (Some(relay), now + TRY + slack);
-        (ask.is_sent, ask.is_locating) = (true, false);
-        ask.tries += 1;
-        let head = Head::Relay { nonce, shard, within_ms, slack_ms, unclear };
-        let (head, tail) = (join(&head, &ask.request), ask.tail.clone());
-        self.effects.push(Effect::Frame { to: relay, head, tail });
-        true
+impl Calls {
+    /// No calls; nonces count up from `first_nonce`, which is random so that those of an earlier incarnation do not match.
+    pub fn new(first_nonce: u64) -> Self {
+        Calls { pending: BTreeMap::new(), last_nonce: first_nonce, leader_hints: BTreeMap::new() }
     }
 
-    /// Another process's call, which is asked on here.
-    pub(crate) fn relayed(&mut self, from: SocketAddr, head: &Head, request: Bytes, tail: Bytes) {
-        let Head::Relay { nonce, shard, within_ms, slack_ms, unclear } = *head else { return };
-        let time = |milliseconds: u32| Time::from(milliseconds) * 1_000;
-        let within = time(within_ms).min(RELAYED_WITHIN);
-        let goal = Goal::Relayed { to: from, nonce };
-        self.ask_encoded(shard, request, tail, goal, within, time(slack_ms).min(within), unclear);
+    /// How many calls are under way.
+    pub fn len(&self) -> usize {
+        self.pending.len()
     }
 
-    fn attempt(&mut self, nonce: u64) {
-        let now = self.now.steady;
-        if self.relay(nonce) {
-            return;
-        }
-        let Some(number) = self.asks.get(&nonce).map(|a| a.shard) else { return };
-        let led = self.shards.get(&number).filter(|p| p.replica.leads()).map(|_| self.info.at);
-        let silent = self.asks.get(&nonce).and_then(|a| a.silent);
-        // Who is known to be gone, or has just not answered, is asked only where nobody else is left.
-        let (mut seats, all) = (self.seats(number), self.seats(number));
-        seats.retain(|at| *at == self.info.at || self.living.contains_key(at) && Some(*at) != silent);
-        let seats = if seats.is_empty() { all } else { seats };
-        let hint = self.hints.get(&number).copied().filter(|hint| Some(*hint) != silent);
-        let Some(ask) = self.asks.get_mut(&nonce) else { return };
-        let turn = ask.tries;
-        let next = (!seats.is_empty()).then(|| seats[turn % seats.len()]);
-        let to = led.or(ask.confirmed).or(hint.filter(|_| turn == 0 || ask.hops > 0)).or(next);
-        ask.is_locating = led.is_none() && ask.confirmed.is_none() && ask.tail.len() > LONG_TAIL;
-        ask.tries += 1;
-        let Some(to) = to else {
-            ask.try_at = now + PAUSE;
-            return;
-        };
-        ask.is_sent |= !ask.is_locating;
-        let slack = ask.slack;
-        let patience = if ask.is_locating { LOCATE_TRY } else { TRY + slack };
-        (ask.to, ask.try_at) = (Some(to), now + patience);
-        let (request, tail) = match ask.is_locating {
-            true => (join(&Request::Locate, &[]), Bytes::new()),
-            false => (ask.request.clone(), ask.tail.clone()),
-        };
-        if to == self.info.at {
-            if let Ok((request, _)) = split(&request) {
-                self.serve(Origin::Own(nonce), number, request, tail);
-            }
-        } else {
-            let head = join(&Head::Ask { nonce, shard: number }, &request);
-            self.effects.push(Effect::Frame { to, head, tail });
-        }
+    /// A nonce that no other call has.
+    pub fn next_nonce(&mut self) -> u64 {
+        self.last_nonce += 1;
+        self.last_nonce
     }
 
-    /// Tries again what has waited long enough, and gives up what has no time.
-    pub(crate) fn retry(&mut self) {
-        let now = self.now.steady;
-        let due: Vec<u64> = self.asks.iter().filter(|(_, a)| a.next() <= now).map(|(n, _)| *n).collect();
-        for nonce in due {
-            let Some(ask) = self.asks.get_mut(&nonce) else { continue };
-            ask.silent_tries += usize::from(ask.to.is_some());
-            if ask.deadline <= now || ask.is_unheard() {
-                let status = if ask.is_sent { ask.unclear } else { 503 };
-                let answer = Answer { retry: (status == 503).then_some(SECOND / 5), ..Answer::of(status) };
-                self.answered(nonce, answer);
-                continue;
-            }
-            // Who was tried and is silent is no good hint.
-            if ask.to.is_some() && self.hints.get(&ask.shard) == ask.to.as_ref() {
-                self.hints.remove(&ask.shard);
-            }
-            (ask.hops, ask.confirmed) = (0, None);
-            ask.is_unresolved |= ask.to.is_some() && !ask.is_locating;
-            ask.silent = ask.to.or(ask.silent);
-            self.attempt(nonce);
-        }
+    /// When a call has to be retried or given up.
+    pub fn next_timeout(&self) -> Time {
+        self.pending.values().map(PendingCall::next_timeout).min().unwrap_or(Time::MAX)
     }
 
-    /// The answer to a call of this process.
-    pub(crate) fn answered(&mut self, nonce: u64, answer: Answer) {
-        let Some(ask) = self.asks.remove(&nonce) else { return };
-        // A later try's refusal would promise that the call never takes effect.
-        let breaks_promise = ask.is_unresolved && PROMISES.contains(&answer.status);
-        let answer = if breaks_promise && ask.unclear == MAYBE { Answer::of(MAYBE) } else { answer };
-        if let Some(to) = ask.to.filter(|_| answer.status != ask.unclear) {
-            self.hints.insert(ask.shard, to);
-        }
-        if ask.unclear == MAYBE && !matches!(answer.status, 200..300 | 429) {
-            let waited = (self.now.steady - ask.begun) / 1_000;
-            let text = format!("{} of part {}, {} tries, {waited} ms", answer.status, ask.shard, ask.tries);
-            self.effects.push(Effect::Log("job not taken", text));
-        }
-        match ask.goal {
-            Goal::Caller(ticket) => self.answer(ticket, answer),
-            Goal::Relayed { to, nonce } => self.reply(Origin::Remote { to, nonce }, answer),
-            Goal::Nobody => {}
-            Goal::Reservation { shard, job } => {
-                // This process may have stood still: its reservation may be released by now.
-                let is_late = self.now.steady > ask.deadline;
-                let answer = if is_late { Answer::later(503, SECOND / 5) } else { answer };
-                self.reservations.push_back(Reserved { shard, job, answer });
-            }
-            Goal::Report { shard, route } => self.reported(shard, &route, answer.status == 200),
-        }
+    /// Where the leader of a shard was when a call last went there.
+    pub fn leader_hint(&self, shard: u16) -> Option<SocketAddr> {
+        self.leader_hints.get(&shard).copied()
     }
 
-    /// Calls that wait for a peer that cannot be reached go to another member, after a pause that lets one be elected.
-    pub(crate) fn asked_in_vain(&mut self, at: SocketAddr) {
-        let soon = self.now.steady + PAUSE;
-        self.hints.retain(|_, hint| *hint != at);
-        for ask in self.asks.values_mut().filter(|a| a.to == Some(at)) {
-            ask.is_unresolved |= !ask.is_locating;
-            (ask.to, ask.hops, ask.confirmed) = (None, 0, None);
-            ask.try_at = ask.try_at.min(soon);
+    /// An attempt of this call may be committed, though it was not answered.
+    fn mark_unresolved(&mut self, nonce: u64) {
+        if let Some(call) = self.pending.get_mut(&nonce) {
+            call.is_unresolved = true;
         }
     }
 
-    /// Another one leads, says who was asked.
-    pub(crate) fn elsewhere(&mut self, nonce: u64, from: SocketAddr, leader: Option<SocketAddr>) {
-        let now = self.now.steady;
-        let Some(ask) = self.asks.get_mut(&nonce) else { return };
-        if ask.to != Some(from) {
-            return;
-        }
-        ask.silent_tries = 0;
-        let shard = ask.shard;
-        ask.hops += 1;
-        let is_found = ask.is_locating && leader == Some(from);
-        ask.confirmed = leader.filter(|_| is_found);
-        match leader.filter(|l| is_found || *l != from && Some(*l) != ask.silent && ask.hops <= 3) {
-            Some(leader) => {
-                self.hints.insert(shard, leader);
-                self.attempt(nonce);
-            }
-            None => {
-                ask.hops = 0;
-                ask.try_at = now + PAUSE;
-                ask.to = None;
-                if self.hints.get(&shard) == Some(&from) {
-                    self.hints.remove(&shard);
-                }
-            }
+    /// Forgets that this process leads the shard, where it was thought to.
+    fn forget_leader(&mut self, shard: u16, leader: SocketAddr) {
+        if self.leader_hint(shard) == Some(leader) {
+            self.leader_hints.remove(&shard);
         }
     }
+}
 
-    pub(crate) fn reply(&mut self, origin: Origin, answer: Answer) {
-        match origin {
-            Origin::Own(nonce) => self.answered(nonce, answer),
-            Origin::Caller(ticket) => self.answer(ticket, answer),
-            Origin::Remote { to, nonce } => {
-                let retry_ms = answer.retry.map_or(0, |r| (r / 1000).clamp(1, 60_000) as u32);
-                let head =
-                    Head::Answer { nonce, status: answer.status, retry_ms, json: u8::from(answer.json) };
-                self.effects.push(Effect::Frame { to, head: join(&head, &[]), tail: answer.body });
-            }
+impl Coordinator {
+    /// Calls a shard's leader: attempts follow one another until there is an answer or the call's time is over.
+    pub(crate) fn call_shard(&mut self, mut call: CallRequest) {
+        let nonce = self.calls.next_nonce();
+        let is_led_here = self.shards.get(&call.shard).is_some_and(|shard| shard.replica.leads());
+        if self.is_isolated(self.now) && !is_led_here {
+            call.timeout = call.timeout.min(ISOLATED_TIMEOUT);
         }
+        self.calls.pending.insert(nonce, PendingCall::new(call, self.now.steady));
+        self.send_attempt(nonce);
     }
 
-    /// A call of this process may be committed, though it has no answer.
-    pub(crate) fn may_be_committed(&mut self, nonce: u64) {
-        if let Some(ask) = self.asks.get_mut(&nonce) {
-            ask.is_unresolved = true;
+    /// A call of this process is answered, by a shard's leader or because its time is over.
+    pub(crate) fn complete_call(&mut self, nonce: u64, answer: Answer) {
+        let Some(pending) = self.calls.pending.remove(&nonce) else { return };
+        let answer = pending.final_answer(answer);
+        let PendingCall { call, target, .. } = &pending;
+        if let Some(leader) = target.filter(|_| answer.status != call.unclear_status) {
+            self.calls.leader_hints.insert(call.shard, leader);
         }
-    }
-
-    /// A call that was proposed here, by a leader that was replaced since.
-    pub(crate) fn send_proposed_elsewhere(&mut self, number: u16, origin: Origin) {
-        if let Origin::Own(nonce) = origin {
-            self.may_be_committed(nonce);
+        if pending.is_unrepeatable() && !matches!(answer.status, 200..300 | 429) {
+            let waited = (self.now.steady - pending.started_at) / 1_000;
+            let text =
+                format!("{} of part {}, {} tries, {waited} ms", answer.status, call.shard, pending.attempts);
+            self.effects.push(Effect::Log("job not taken", text));
         }
-        self.send_on(number, origin, true);
+        // This process may have stood still: what the answer grants may be released by now.
+        let is_late = self.now.steady > pending.deadline;
+        self.deliver_answer(pending.call.completion, answer, is_late);
     }
 
-    /// A call of which nothing was proposed here.
-    pub(crate) fn send_elsewhere(&mut self, number: u16, origin: Origin) {
-        self.send_on(number, origin, false);
-    }
-
-    fn send_on(&mut self, number: u16, origin: Origin, proposed: bool) {
-        // One that is elected and may not serve yet does not name itself.
-        let replica = self.shards.get(&number).map(|shard| &shard.replica);
-        let leader = replica.filter(|r| r.leads() || !r.is_elected()).and_then(|r| r.leader()).map(|m| m.at);
-        match origin {
-            Origin::Own(nonce) => self.elsewhere(nonce, self.info.at, leader),
-            Origin::Remote { to, nonce } => {
-                let leader = leader.map_or(PeerAddress { ip: [0; 4], port: 0 }, PeerAddress::from);
-                let head = Head::Elsewhere { nonce, proposed: u8::from(proposed), leader };
-                self.effects.push(Effect::Frame { to, head: join(&head, &[]), tail: Bytes::new() });
+    fn deliver_answer(&mut self, completion: CallCompletion, answer: Answer, is_late: bool) {
+        match completion {
+            CallCompletion::Caller(ticket) => self.answer(ticket, answer),
+            CallCompletion::Relayed { to, nonce } => self.reply(Origin::Remote { to, nonce }, answer),
+            CallCompletion::Ignored => {}
+            CallCompletion::Reservation { shard, job } => {
+                let answer = if is_late { Answer::retry_after(503, RETRY_AFTER) } else { answer };
+                self.queue_reservation_answer(shard, job, answer);
+            }
+            CallCompletion::UsageReport { shard, route } => {
+                self.finish_usage_report(shard, &route, answer.status == 200);
             }
-            Origin::Caller(ticket) => self.answer(ticket, Answer::later(503, SECOND / 5)),
         }
     }
+
+    /// Answers a caller of this process.
+    pub(crate) fn answer(&mut self, ticket: u64, answer: Answer) {
+        self.effects.push(Effect::Answer { ticket, answer });
+    }
 }
--- a/crates/coordinator/src/capacity.rs
+++ b/crates/coordinator/src/capacity.rs
@@ -12,7 +12,7 @@
 use rainlug_batch::{Item, Totals};
 use rainlug_wal::rewriting;
 
-use crate::{LOGS_OF_A_DISK, NodeInfo};
+use crate::{LOGS_PER_DISK, NodeInfo};
 
 /// A disk that takes longer than this to write something is stalled.
 pub const DISK_PATIENCE: Time = SECOND;
@@ -54,7 +54,7 @@
 /// Entries that a leader keeps in memory for members that lag, in bytes: a snapshot instead takes the room of
 /// a second copy there.
 pub fn lag_bytes(disk_bytes: usize) -> usize {
-    (disk_bytes / LOGS_OF_A_DISK).clamp(4 << 20, 16 << 20)
+    (disk_bytes / LOGS_PER_DISK).clamp(4 << 20, 16 << 20)
 }
 
 /// A part's log on this process's disk.
--- a/crates/coordinator/src/control.rs
+++ b/crates/coordinator/src/control.rs
@@ -30,21 +30,21 @@
     #[deku(id = "0")]
     Configure { base: u64, version: u64 },
     #[deku(id = "1")]
-    Store { seat: MemberRecord },
+    RegisterStore { member: MemberRecord },
     #[deku(id = "2")]
     Retire { store: Text },
     /// The first group of a part, or how it stands now.
     #[deku(id = "3")]
-    Seated {
+    SetReplicaSet {
         shard: u16,
         term: u64,
         /// The group is as of this entry of the part's log, or a later one; 0 for the first group.
         index: u64,
         /// How many retirements its leader knew of.
         retirements: u32,
-        count: u16,
-        #[deku(count = "count")]
-        seats: Vec<MemberRecord>,
+        member_count: u16,
+        #[deku(count = "member_count")]
+        members: Vec<MemberRecord>,
     },
     /// The disk has no part in breaking a tie from now on.
     #[deku(id = "4")]
@@ -122,8 +122,9 @@
 impl Change {
     /// A part's first group, to be agreed on.
     pub fn founded(shard: u16, members: &[Member]) -> Self {
-        let seats = seats(members);
-        Change::Seated { shard, term: 0, index: 0, retirements: 0, count: seats.len() as u16, seats }
+        let member_count = members.len() as u16;
+        let members = seats(members);
+        Change::SetReplicaSet { shard, term: 0, index: 0, retirements: 0, member_count, members }
     }
 }
 
@@ -133,13 +134,13 @@
         let (change, tail): (Change, Bytes) = split(bytes)?;
         Ok(match change {
             Change::Configure { base, version } => self.configure(base, version, tail),
-            Change::Store { seat } => {
-                self.enter_store(seat.member()?);
+            Change::RegisterStore { member } => {
+                self.enter_store(member.to_member()?);
                 Outcome::Done
             }
             Change::Retire { store } => self.retire(store.to_str()?),
-            Change::Seated { shard, term, index, retirements, seats, .. } => {
-                self.seat(shard, (term, index), retirements, members(&seats)?);
+            Change::SetReplicaSet { shard, term, index, retirements, members: records, .. } => {
+                self.seat(shard, (term, index), retirements, members(&records)?);
                 Outcome::Done
             }
             Change::Fence { disk } => {
@@ -277,7 +278,7 @@
         let mut control = Control { version: image.version, text, ..Control::default() };
         control.accepted = image.accepted.iter().map(|p| (p.version, p.hash)).collect();
         for store in &image.topology.stores {
-            let member = store.seat.member()?;
+            let member = store.seat.to_member()?;
             control.stores.insert(member.name.clone(), Store { member, retirement: store.retirement });
         }
         for group in &image.topology.groups {
--- a/crates/coordinator/src/dissemination.rs
+++ b/crates/coordinator/src/dissemination.rs
@@ -125,12 +125,12 @@
 
     /// After each event: what members there are, answers whose news has spread, items to run, tokens to report.
     pub(crate) fn settle(&mut self) {
-        if self.view.version() != self.seen {
-            self.seen = self.view.version();
+        if self.peers.view.version() != self.peers.view_version {
+            self.peers.view_version = self.peers.view.version();
             self.members();
         }
         let now = self.now.steady;
-        let held = std::mem::take(&mut self.held);
+        let held = std::mem::take(&mut self.pending_acknowledgements);
         for waits in held {
             let ((has, all), is_in_core) = match &waits.news {
                 News::Configuration(version) => (self.gossip.spread(gossip::CONFIGURATION, *version), true),
@@ -143,14 +143,14 @@
                 let alone = has == 0 && all > 0 && matches!(waits.news, News::Worker(_));
                 self.reply(
                     waits.origin,
-                    if alone || !is_in_core { Answer::later(503, SECOND / 5) } else { waits.answer },
+                    if alone || !is_in_core { Answer::retry_after(503, SECOND / 5) } else { waits.answer },
                 );
             } else {
-                self.held.push(waits);
+                self.pending_acknowledgements.push(waits);
             }
         }
         self.run_items();
-        self.report_tokens();
+        self.send_usage_reports();
         self.finish_reservations();
     }
 }
--- a/crates/coordinator/src/frame.rs
+++ b/crates/coordinator/src/frame.rs
@@ -44,6 +44,11 @@
     pub port: u16,
 }
 
+impl PeerAddress {
+    /// No address.
+    pub const NONE: PeerAddress = PeerAddress { ip: [0; 4], port: 0 };
+}
+
 impl From<std::net::SocketAddr> for PeerAddress {
     fn from(at: std::net::SocketAddr) -> Self {
         let ip = match at.ip() {
@@ -77,7 +82,7 @@
 }
 
 impl MemberRecord {
-    pub fn member(&self) -> Result<rainlug_consensus::Member, DecodeError> {
+    pub fn to_member(&self) -> Result<rainlug_consensus::Member, DecodeError> {
         Ok(rainlug_consensus::Member {
             id: self.id,
             name: self.name.to_str()?.to_owned(),
@@ -96,22 +101,22 @@
     Gossip,
     /// Of a part's group.
     #[deku(id = "1")]
-    Group { shard: u16 },
+    Consensus { shard: u16 },
     /// A call to a part's leader; the tail is the request.
     #[deku(id = "2")]
-    Ask { nonce: u64, shard: u16 },
+    Call { nonce: u64, shard: u16 },
     /// Its answer; the tail is the body.
     #[deku(id = "3")]
     Answer { nonce: u64, status: u16, retry_ms: u32, json: u8 },
     /// Its answer: another one leads, as far as is known (port 0: nobody).
     #[deku(id = "4")]
-    Elsewhere {
+    NotLeader {
         nonce: u64,
         /// Not 0 where it was proposed first, and may be committed yet.
         proposed: u8,
         leader: PeerAddress,
     },
-    /// A call to a part's leader by way of the receiver, which asks on; the tail is as with [`Head::Ask`].
+    /// A call to a part's leader by way of the receiver, which asks on; the tail is as with [`Head::Call`].
     #[deku(id = "5")]
     Relay { nonce: u64, shard: u16, within_ms: u32, slack_ms: u32, unclear: u16 },
 }
@@ -128,25 +133,25 @@
     #[deku(id = "2")]
     Retire { store: Text },
     #[deku(id = "3")]
-    Retiring { store: Text },
+    RetirementStatus { store: Text },
     /// A disk of the core would have a seat.
     #[deku(id = "4")]
-    Join { seat: MemberRecord },
+    Join { member: MemberRecord },
     /// A store is there.
     #[deku(id = "5")]
-    Shelve { seat: MemberRecord },
+    RegisterStore { member: MemberRecord },
     /// A part's group as it stands committed.
     #[deku(id = "6")]
-    Seated {
+    ReportReplicaSet {
         shard: u16,
         term: u64,
         /// The group is as of this entry of the part's log, or a later one.
         index: u64,
         /// How many retirements its leader knows of.
         retirements: u32,
-        count: u16,
-        #[deku(count = "count")]
-        seats: Vec<MemberRecord>,
+        member_count: u16,
+        #[deku(count = "member_count")]
+        members: Vec<MemberRecord>,
     },
     /// Who leads the part: asked before a long tail is sent.
     #[deku(id = "7")]
@@ -165,7 +170,7 @@
     Reserve { job: Text, route: Text, shard: u16, tokens: u64, most: u64 },
     /// Of a route's ledger. The tail is the command that settles, but for its time.
     #[deku(id = "21")]
-    Settle,
+    ReportUsage,
 }
 
 /// A head and its tail in one piece.
--- a/crates/coordinator/src/info.rs
+++ b/crates/coordinator/src/info.rs
@@ -7,7 +7,7 @@
 
 /// How long batch jobs are kept beyond the time for which they can be asked for: times of day of two leaders
 /// that differ, a read under way, and a margin (`docs/control-bounds.md`, *How long outputs stay*).
-pub const KEEP_SLACK: Time = 20 * SECOND;
+pub const RETENTION_SLACK: Time = 20 * SECOND;
 
 /// What the process is told of itself and the deployment.
 #[derive(Clone, Debug)]
--- a/crates/coordinator/src/listing.rs
+++ b/crates/coordinator/src/listing.rs
@@ -87,7 +87,7 @@
     /// All processes that this one knows of, itself too, by name.
     pub fn list_members(&self) -> Vec<MemberListing> {
         let mut lines = Vec::new();
-        for member in self.view.members() {
+        for member in self.peers.view.members() {
             for (card, stands, since) in member.processes {
                 let (role, port) = match card.figures[..] {
                     [role, high, low, ..] => {
@@ -146,7 +146,7 @@
     }
 
     fn shelved(&self) -> impl Iterator<Item = (Member, bool)> {
-        self.topology.stores.iter().filter_map(|s| Some((s.seat.member().ok()?, s.is_retiring())))
+        self.topology.stores.iter().filter_map(|s| Some((s.seat.to_member().ok()?, s.is_retiring())))
     }
 
     /// All parts, as far as this process knows: of a part that it has no replica in, by the roster and by where calls went last.
@@ -169,9 +169,13 @@
                     } else {
                         listed.map(|g| &g.members)
                     };
-                    let seats =
-                        seats.into_iter().flatten().filter_map(|s| s.member().ok()).map(|m| m.at).collect();
-                    (self.hints.get(&number).copied(), seats, listed.map_or(0, |g| g.term))
+                    let seats = seats
+                        .into_iter()
+                        .flatten()
+                        .filter_map(|s| s.to_member().ok())
+                        .map(|m| m.at)
+                        .collect();
+                    (self.calls.leader_hint(number), seats, listed.map_or(0, |g| g.term))
                 }
             };
             ShardListing {
--- a/crates/coordinator/src/lost_membership.rs
+++ b/crates/coordinator/src/lost_membership.rs
@@ -16,7 +16,7 @@
 
 use rainlug::{SECOND, Time};
 
-use crate::shard::Machine;
+use crate::shard::StateMachine;
 use crate::{BATCH_SHARDS, Coordinator, Effect};
 
 /// How long no leader must have been heard: longer than the elections, starts and cuts after which a change goes on.
@@ -30,10 +30,10 @@
             let now = self.now.steady;
             let Some(shard) = self.shards.get_mut(&number) else { continue };
             if !may_go {
-                shard.seatless_since = None;
+                shard.nonmember_since = None;
                 continue;
             }
-            if now - *shard.seatless_since.get_or_insert(now) >= QUIET {
+            if now - *shard.nonmember_since.get_or_insert(now) >= QUIET {
                 self.vacate(number);
             }
         }
@@ -54,11 +54,11 @@
         if !shard.replica.vacate(now) {
             return;
         }
-        shard.seatless_since = None;
+        shard.nonmember_since = None;
         shard.restoring = None;
-        shard.compact_wanted = false;
-        (shard.machine, shard.quota_ledger) = (Machine::empty(number), Default::default());
+        shard.is_snapshot_wanted = false;
+        (shard.state_machine, shard.quota_ledger) = (StateMachine::empty(number), Default::default());
         self.effects.push(Effect::Log("vacated", format!("part {number}: another store has the seat")));
-        self.drain(number);
+        self.process_output(number);
     }
 }
--- a/crates/coordinator/src/maintenance.rs
+++ b/crates/coordinator/src/maintenance.rs
@@ -6,23 +6,26 @@
 use rainlug::{SECOND, Time};
 use rainlug_registry::Phase;
 
-use crate::calls::Goal;
+use crate::calls::CallRequest;
 use crate::frame::{MemberRecord, Request};
-use crate::{BATCH_SHARDS, CONTROL, Coordinator, Effect, MISSED};
+use crate::{BATCH_SHARDS, CONTROL, Coordinator, Effect};
 
 /// Between two words of a process about itself.
 pub(crate) const ANNOUNCE: Time = SECOND;
+/// Heartbeats that may be missing before a worker counts as unresponsive; the share leaves room for one that is late.
+const MAX_MISSED_HEARTBEATS: f64 = 3.2;
+
 impl Coordinator {
     pub(crate) fn run_maintenance(&mut self) {
         self.silent();
         self.diagnose();
         self.check_memory();
-        if self.announce_at <= self.now.steady {
-            self.announce_at = self.now.steady + ANNOUNCE;
+        if self.maintenance.announce_at <= self.now.steady {
+            self.maintenance.announce_at = self.now.steady + ANNOUNCE;
             self.announce();
         }
-        if self.shards.get(&CONTROL).is_some_and(|p| p.led) {
-            self.post();
+        if self.shards.get(&CONTROL).is_some_and(|p| p.is_leader) {
+            self.publish_control_state();
             self.seat_core();
             self.create_shards();
             self.fence_absent();
@@ -33,12 +36,12 @@
             }
         }
         self.vacate_lost_seats();
-        self.watch_routes();
+        self.track_routes();
     }
 
     /// Workers whose beats are this process's duty, and do not come.
     fn silent(&mut self) {
-        let (now, patience) = (self.now.steady, (self.info.heartbeat as f64 * MISSED) as Time);
+        let (now, patience) = (self.now.steady, (self.info.heartbeat as f64 * MAX_MISSED_HEARTBEATS) as Time);
         if !self.info.gateway {
             return;
         }
@@ -73,22 +76,16 @@
 
     /// Asks for a seat in the core, or to be on the roster of stores.
     fn announce(&mut self) {
-        let Some(me) = self.me() else { return };
-        let seat = MemberRecord::from(&me);
+        let Some(me) = self.own_member() else { return };
+        let member = MemberRecord::from(&me);
         if self.info.gateway {
             if !self.topology.core.iter().any(|s| s.id == me.id) {
-                self.ask(
-                    CONTROL,
-                    &Request::Join { seat },
-                    bytes::Bytes::new(),
-                    Goal::Nobody,
-                    ANNOUNCE,
-                    0,
-                    503,
-                );
+                let request = Request::Join { member };
+                self.call_shard(CallRequest::internal(CONTROL, &request, ANNOUNCE));
             }
-        } else if !self.topology.stores.iter().any(|s| s.seat == seat) {
-            self.ask(CONTROL, &Request::Shelve { seat }, bytes::Bytes::new(), Goal::Nobody, ANNOUNCE, 0, 503);
+        } else if !self.topology.stores.iter().any(|s| s.seat == member) {
+            let request = Request::RegisterStore { member };
+            self.call_shard(CallRequest::internal(CONTROL, &request, ANNOUNCE));
         }
     }
 }
--- a/crates/coordinator/src/quota.rs
+++ b/crates/coordinator/src/quota.rs
@@ -8,7 +8,7 @@
 use rainlug_batch::{Booked, Command, OpenJob, RESERVATION_GRACE, Register, ReportNumber};
 use rainlug_registry::Kind;
 
-use crate::calls::Goal;
+use crate::calls::{CallCompletion, CallRequest};
 use crate::frame::Request;
 use crate::{Answer, Coordinator, Origin, shard_of_route};
 
@@ -32,7 +32,7 @@
 const NO_LEDGER_RETRY: Time = SECOND / 2;
 
 /// A batch job that is not agreed on yet.
-pub(crate) struct Submitting {
+pub(crate) struct Submission {
     /// Bytes that it and its outputs will take on the disk.
     pub bytes: u64,
     /// Who waits for it, except for the one whose proposal it is.
@@ -50,9 +50,9 @@
     Proposed,
 }
 
-impl Submitting {
+impl Submission {
     pub fn new(route: String, tokens: u64, bytes: u64, origin: Origin, command: Bytes) -> Self {
-        Submitting { bytes, origins: vec![origin], route, tokens, stage: Stage::Reserving { command } }
+        Submission { bytes, origins: vec![origin], route, tokens, stage: Stage::Reserving { command } }
     }
 
     /// Bytes that it holds until it is proposed.
@@ -70,7 +70,7 @@
 }
 
 /// A ledger's answer to a reservation.
-pub(crate) struct Reserved {
+pub(crate) struct ReservationAnswer {
     /// The part of the batch job.
     pub shard: u16,
     pub job: String,
@@ -78,7 +78,7 @@
 }
 
 /// What the leader of a part reports to the ledgers of its batch jobs' routes.
-pub(crate) struct Reports {
+pub(crate) struct UsageReports {
     last: ReportNumber,
     routes: BTreeMap<String, RouteReport>,
 }
@@ -142,11 +142,11 @@
     }
 }
 
-impl Reports {
+impl UsageReports {
     /// Of a leader that has just been elected: all is to be told, also of batch jobs that finished under the leader before and that
     /// no report may have named.
     pub fn new(register: &Register, term: u64, wall: Time) -> Self {
-        let mut reports = Reports { last: ReportNumber { term, sequence: 0 }, routes: BTreeMap::new() };
+        let mut reports = UsageReports { last: ReportNumber { term, sequence: 0 }, routes: BTreeMap::new() };
         for (route, job, tokens) in register.open_jobs() {
             reports.route(route).open.insert(job.to_owned(), tokens);
         }
@@ -207,14 +207,14 @@
         &mut self,
         now: Time,
         shard: u16,
-        submitting: &BTreeMap<String, Submitting>,
+        submission: &BTreeMap<String, Submission>,
     ) -> Vec<(String, Command)> {
         let mut due = Vec::new();
         for (route, report) in self.routes.iter_mut().filter(|(_, report)| report.due_at() <= now) {
             self.last.sequence += 1;
             let mut open = report.tell(now);
             // What is proposed may be committed yet, even if it takes longer than the reservation's grace.
-            let proposed = submitting.iter().filter(|(_, s)| s.is_proposed() && s.route == *route);
+            let proposed = submission.iter().filter(|(_, s)| s.is_proposed() && s.route == *route);
             open.extend(proposed.map(|(job, s)| (job.clone(), s.tokens)));
             let open = open.into_iter().map(|(job, tokens)| OpenJob { job, tokens }).collect();
             let command = Command::Settle { route: route.clone(), shard, number: self.last, at: 0, open };
@@ -227,33 +227,42 @@
 impl Coordinator {
     /// Asks for a batch job's tokens; the job is proposed once they are reserved. At most `most` may wait on the route (0: no
     /// limit, and no need to ask: the part's reports tell of the job).
-    pub(crate) fn reserve_tokens(&mut self, number: u16, job: &str, submitting: Submitting, most: u64) {
+    pub(crate) fn reserve_tokens(&mut self, number: u16, job: &str, submission: Submission, most: u64) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        let (route, tokens) = (submitting.route.clone(), submitting.tokens);
-        shard.submitting.insert(job.to_owned(), submitting);
+        let (route, tokens) = (submission.route.clone(), submission.tokens);
+        shard.submissions.insert(job.to_owned(), submission);
         if let Some(reports) = &mut shard.reports {
             reports.is_reserving(&route, job);
         }
         if most == 0 {
-            let granted = Reserved { shard: number, job: job.to_owned(), answer: Answer::of(200) };
-            return self.reservations.push_back(granted);
+            let granted =
+                ReservationAnswer { shard: number, job: job.to_owned(), answer: Answer::with_status(200) };
+            return self.reservation_answers.push_back(granted);
         }
         let request =
             Request::Reserve { job: job.into(), route: route.as_str().into(), shard: number, tokens, most };
-        let goal = Goal::Reservation { shard: number, job: job.to_owned() };
-        self.ask(shard_of_route(&route), &request, Bytes::new(), goal, RESERVE_WITHIN, COMMIT_SLACK, 503);
+        let completion = CallCompletion::Reservation { shard: number, job: job.to_owned() };
+        self.call_shard(CallRequest {
+            leader_wait: COMMIT_SLACK,
+            ..CallRequest::new(shard_of_route(&route), &request, completion, RESERVE_WITHIN)
+        });
+    }
+
+    /// A ledger has answered a reservation, or did not in time.
+    pub(crate) fn queue_reservation_answer(&mut self, shard: u16, job: String, answer: Answer) {
+        self.reservation_answers.push_back(ReservationAnswer { shard, job, answer });
     }
 
     /// Acts on the answers of ledgers. Not where they arrive: that may be in the midst of another part's commands.
     pub(crate) fn finish_reservations(&mut self) {
-        while let Some(Reserved { shard, job, answer }) = self.reservations.pop_front() {
+        while let Some(ReservationAnswer { shard, job, answer }) = self.reservation_answers.pop_front() {
             if answer.status == 200 {
                 self.propose_reserved(shard, &job);
             } else {
                 let refusal = if answer.status == 429 {
-                    Answer::later(429, OVER_QUOTA_RETRY)
+                    Answer::retry_after(429, OVER_QUOTA_RETRY)
                 } else {
-                    Answer::later(503, NO_LEDGER_RETRY)
+                    Answer::retry_after(503, NO_LEDGER_RETRY)
                 };
                 self.refuse_submitting(shard, &job, &refusal);
             }
@@ -262,11 +271,11 @@
 
     fn propose_reserved(&mut self, number: u16, job: &str) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        let Some(submitting) = shard.submitting.get_mut(job) else { return };
-        let Stage::Reserving { command } = std::mem::replace(&mut submitting.stage, Stage::Proposed) else {
+        let Some(submission) = shard.submissions.get_mut(job) else { return };
+        let Stage::Reserving { command } = std::mem::replace(&mut submission.stage, Stage::Proposed) else {
             return;
         };
-        let origin = submitting.origins.remove(0);
+        let origin = submission.origins.remove(0);
         if !self.propose(number, origin, command) {
             self.send_submitting_elsewhere(number, job);
         }
@@ -276,70 +285,75 @@
     fn refuse_submitting(&mut self, number: u16, job: &str, refusal: &Answer) {
         let now = self.now.steady;
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        if shard.submitting.get(job).is_none_or(Submitting::is_proposed) {
+        if shard.submissions.get(job).is_none_or(Submission::is_proposed) {
             return;
         }
-        let Some(submitting) = shard.submitting.remove(job) else { return };
+        let Some(submission) = shard.submissions.remove(job) else { return };
         if refusal.status != 429
             && let Some(reports) = &mut shard.reports
         {
-            reports.came_to_nothing(&submitting.route, job, now);
+            reports.came_to_nothing(&submission.route, job, now);
         }
-        submitting.origins.into_iter().for_each(|origin| self.reply(origin, refusal.clone()));
+        submission.origins.into_iter().for_each(|origin| self.reply(origin, refusal.clone()));
     }
 
     fn send_submitting_elsewhere(&mut self, number: u16, job: &str) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        let origins = shard.submitting.remove(job).map_or(Vec::new(), |submitting| submitting.origins);
-        origins.into_iter().for_each(|origin| self.send_elsewhere(number, origin));
+        let origins = shard.submissions.remove(job).map_or(Vec::new(), |submission| submission.origins);
+        origins.into_iter().for_each(|origin| self.redirect(number, origin));
     }
 
     /// A reservation, asked of this process as the leader of the ledger's part.
-    pub(crate) fn reserve(&mut self, number: u16, origin: Origin, command: Command) {
+    pub(crate) fn receive_reservation(&mut self, number: u16, origin: Origin, command: Command) {
         let Command::Reserve { route, job, shard, tokens, most, .. } = &command else { return };
         let Some(counts) = self.shards.get(&number) else { return };
         if shard_of_route(route) != number {
-            return self.reply(origin, Answer::of(400));
+            return self.reply(origin, Answer::with_status(400));
         }
         // A refusal need not be agreed on: where this copy is old, the job fits when it comes again.
         if !counts.quota_ledger.has_room(route, job, *shard, *tokens, *most) {
-            return self.reply(origin, Answer::later(429, OVER_QUOTA_RETRY));
+            return self.reply(origin, Answer::retry_after(429, OVER_QUOTA_RETRY));
         }
         self.propose(number, origin, command.encode());
     }
 
     /// A report, made to this process as the leader of the ledger's part.
-    pub(crate) fn settle_tokens(&mut self, number: u16, origin: Origin, report: &Bytes) {
+    pub(crate) fn receive_usage_report(&mut self, number: u16, origin: Origin, report: &Bytes) {
         let wall = self.now.wall;
         let Some(counts) = self.shards.get(&number) else { return };
         let Ok(Command::Settle { route, shard, number: nth, open, .. }) = Command::decode(report) else {
-            return self.reply(origin, Answer::of(400));
+            return self.reply(origin, Answer::with_status(400));
         };
         if shard_of_route(&route) != number {
-            return self.reply(origin, Answer::of(400));
+            return self.reply(origin, Answer::with_status(400));
         }
         if !counts.quota_ledger.would_change(&route, shard, nth, &open, wall) {
-            return self.reply(origin, Answer::of(200));
+            return self.reply(origin, Answer::with_status(200));
         }
         let command = Command::Settle { route, shard, number: nth, at: wall, open };
         self.propose(number, origin, command.encode());
     }
 
     /// A command of a ledger is agreed on; `mine` is who waits for it, and whether it is what was proposed.
-    pub(crate) fn booked(&mut self, number: u16, booked: Booked, mine: Option<(bool, Origin)>) {
+    pub(crate) fn finish_ledger_command(
+        &mut self,
+        number: u16,
+        booked: Booked,
+        mine: Option<(bool, Origin)>,
+    ) {
         let answer = match booked {
-            Booked::Granted | Booked::Settled | Booked::Stale => Answer::of(200),
-            Booked::Refused => Answer::later(429, OVER_QUOTA_RETRY),
+            Booked::Granted | Booked::Settled | Booked::Stale => Answer::with_status(200),
+            Booked::Refused => Answer::retry_after(429, OVER_QUOTA_RETRY),
         };
         match mine {
             Some((true, origin)) => self.reply(origin, answer),
-            Some((false, origin)) => self.send_proposed_elsewhere(number, origin),
+            Some((false, origin)) => self.redirect_proposed(number, origin),
             None => {}
         }
     }
 
     /// Parts that this process leads report on all routes, also where they have none of its batch jobs.
-    pub(crate) fn watch_routes(&mut self) {
+    pub(crate) fn track_routes(&mut self) {
         let Some(configuration) = &self.configuration else { return };
         for reports in self.shards.values_mut().filter_map(|shard| shard.reports.as_mut()) {
             let routes = configuration.routes.iter().filter(|route| route.kind == Kind::Bulk);
@@ -350,24 +364,28 @@
     }
 
     /// Sends the reports that are due.
-    pub(crate) fn report_tokens(&mut self) {
+    pub(crate) fn send_usage_reports(&mut self) {
         let now = self.now.steady;
         let mut due = Vec::new();
         for (number, shard) in &mut self.shards {
             if let Some(reports) = &mut shard.reports {
-                let reports = reports.take_due(now, *number, &shard.submitting);
+                let reports = reports.take_due(now, *number, &shard.submissions);
                 due.extend(reports.into_iter().map(|(route, command)| (*number, route, command)));
             }
         }
         for (shard, route, command) in due {
             let quota_ledger = shard_of_route(&route);
-            let (tail, goal) = (command.encode(), Goal::Report { shard, route });
-            self.ask(quota_ledger, &Request::Settle, tail, goal, REPORT_WITHIN, COMMIT_SLACK, 503);
+            let completion = CallCompletion::UsageReport { shard, route };
+            self.call_shard(CallRequest {
+                tail: command.encode(),
+                leader_wait: COMMIT_SLACK,
+                ..CallRequest::new(quota_ledger, &Request::ReportUsage, completion, REPORT_WITHIN)
+            });
         }
     }
 
     /// A report was answered, or had no answer in time.
-    pub(crate) fn reported(&mut self, number: u16, route: &str, is_entered: bool) {
+    pub(crate) fn finish_usage_report(&mut self, number: u16, route: &str, is_entered: bool) {
         let reports = self.shards.get_mut(&number).and_then(|shard| shard.reports.as_mut());
         if let Some(report) = reports.and_then(|reports| reports.routes.get_mut(route)) {
             report.told(is_entered);
--- a/crates/coordinator/src/replica_placement.rs
+++ b/crates/coordinator/src/replica_placement.rs
@@ -4,19 +4,19 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use bytes::Bytes;
 use rainlug::{SECOND, Time};
 use rainlug_consensus::{Member, MemberId};
+use rainlug_registry::gossip;
 use rand::Rng;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::calls::Goal;
+use crate::calls::CallRequest;
 use crate::control::Change;
 use crate::frame::{MemberRecord, Request, join};
 use crate::maintenance::ANNOUNCE;
-use crate::shard::Machine;
+use crate::shard::StateMachine;
 use crate::topology::members;
-use crate::{BATCH_SHARDS, CONTROL, Coordinator, Effect, Origin, gossip};
+use crate::{BATCH_SHARDS, CONTROL, Coordinator, Effect, Origin};
 
 /// Who has not been there for so long loses a seat, if another one can have it.
 const ABSENT: Time = 4 * SECOND;
@@ -74,10 +74,10 @@
 
     /// How long it has not been there; 0 where it is.
     fn absent_for(&self, at: &SocketAddr) -> Time {
-        if *at == self.info.at || self.living.contains_key(at) {
+        if *at == self.info.at || self.peers.live.contains_key(at) {
             return 0;
         }
-        self.now.steady - self.gone.get(at).copied().unwrap_or(self.begun)
+        self.now.steady - self.peers.absent_since.get(at).copied().unwrap_or(self.contact.started_at)
     }
 
     /// Where a member of a part's group would best be replaced by, or joined by, one of those: in a zone that has the fewest of
@@ -139,7 +139,7 @@
         if shard.replica.change(self.now.steady, next.clone()).is_ok() {
             let names: Vec<String> = next.iter().map(|m| format!("{}@{}", m.name, m.at)).collect();
             self.effects.push(Effect::Log("seats", format!("part {number}: {}", names.join(" "))));
-            self.drain(number);
+            self.process_output(number);
         }
     }
 
@@ -154,7 +154,7 @@
         if missing.is_empty() || stores.len() < least {
             return;
         }
-        let since = *self.shelves_since.get_or_insert(now);
+        let since = *self.maintenance.enough_stores_since.get_or_insert(now);
         if stores.len() < target && now - since < GATHER {
             return;
         }
@@ -168,21 +168,20 @@
     }
 
     fn propose_duty(&mut self, change: Change) {
-        self.nonce += 1;
-        let nonce = self.nonce;
+        let nonce = self.calls.next_nonce();
         // Its own nonce is nobody's: whether it took effect is seen in the state.
         self.propose(CONTROL, Origin::Own(nonce), join(&change, &[]));
     }
 
     /// Parts that were founded with this store among them, and that it does not have, begin here.
     pub(crate) fn founded(&mut self) {
-        let Some(me) = self.me().filter(|_| !self.info.gateway) else { return };
+        let Some(me) = self.own_member().filter(|_| !self.info.gateway) else { return };
         for group in self.topology.groups.clone() {
             if self.shards.contains_key(&group.shard) || !group.founding.iter().any(|s| s.id == me.id) {
                 continue;
             }
             if let Ok(founding) = members(&group.founding) {
-                let _ = self.open(group.shard, founding, &[]);
+                let _ = self.open_shard(group.shard, founding, &[]);
             }
         }
     }
@@ -201,7 +200,7 @@
             let could_have_the_seat = control.stores.values().any(|s| {
                 !s.is_retiring()
                     && !control.is_fenced(s.member.id)
-                    && self.living.contains_key(&s.member.at)
+                    && self.peers.live.contains_key(&s.member.at)
                     && group.members.iter().all(|m| m.id != s.member.id)
             });
             if !decides && is_tied && could_have_the_seat {
@@ -219,7 +218,7 @@
         for number in 1..=BATCH_SHARDS {
             if let Some(shard) = self.shards.get_mut(&number) {
                 shard.replica.fence(self.now.steady, self.topology.fenced.iter().copied());
-                self.drain(number);
+                self.process_output(number);
             }
         }
     }
@@ -246,7 +245,7 @@
         let new: MemberId = self.rng.random::<u64>().max(1);
         self.info.disk = Some(new);
         self.effects.push(Effect::Log("fenced", format!("disk {disk:x} is {new:x} from now on")));
-        self.effects.push(Effect::Renew { disk: new });
+        self.effects.push(Effect::ReplaceDiskIdentity { disk: new });
     }
 
     /// What the disk holds of a part cannot be read, so this process must neither serve nor vote by it. A store counts its disk as
@@ -266,7 +265,7 @@
             .topology
             .stores
             .iter()
-            .filter_map(|s| Some((s.seat.member().ok()?, s.is_retiring())))
+            .filter_map(|s| Some((s.seat.to_member().ok()?, s.is_retiring())))
             .collect();
         let is_listed = |m: &Member| listed.iter().any(|(l, _)| l.id == m.id);
         let is_retiring = |m: &Member| listed.iter().any(|(l, retiring)| l.id == m.id && *retiring);
@@ -274,7 +273,7 @@
             !retiring
                 && !self.topology.is_fenced(store.id)
                 && members.iter().all(|m| m.id != store.id)
-                && self.living.contains_key(&store.at)
+                && self.peers.live.contains_key(&store.at)
         };
         let may_leave = |m: &Member| is_retiring(m) || self.topology.is_fenced(m.id);
         let spare: Vec<&Member> = listed.iter().filter(could_join).map(|(store, _)| store).collect();
@@ -305,7 +304,7 @@
         let (members, settled) = shard.replica.members();
         if !settled
             || self.gossip.get(gossip::GROUPS).is_none()
-            || !matches!(shard.machine, Machine::BatchJobs(_))
+            || !matches!(shard.state_machine, StateMachine::BatchJobs(_))
         {
             return;
         }
@@ -318,7 +317,8 @@
 
     /// Tells the configuration's part of the group as it stands, once it has been handed over and all that live hold nearly all.
     fn tell_group(&mut self, number: u16, group: &[Member]) {
-        let Some(shard) = self.shards.get(&number).filter(|p| p.led && p.replica.is_handed_over()) else {
+        let Some(shard) = self.shards.get(&number).filter(|p| p.is_leader && p.replica.is_handed_over())
+        else {
             return;
         };
         let (term, index) = (shard.replica.term(), shard.replica.group_index());
@@ -336,9 +336,10 @@
         if is_known || !group.iter().all(holds_all) {
             return;
         }
-        let seats: Vec<MemberRecord> = group.iter().map(MemberRecord::from).collect();
-        let count = seats.len() as u16;
-        let request = Request::Seated { shard: number, term, index, retirements, count, seats };
-        self.ask(CONTROL, &request, Bytes::new(), Goal::Nobody, SECOND / 2, 0, 503);
+        let members: Vec<MemberRecord> = group.iter().map(MemberRecord::from).collect();
+        let member_count = members.len() as u16;
+        let request =
+            Request::ReportReplicaSet { shard: number, term, index, retirements, member_count, members };
+        self.call_shard(CallRequest::internal(CONTROL, &request, SECOND / 2));
     }
 }
--- a/crates/coordinator/src/serving.rs
+++ b/crates/coordinator/src/serving.rs
@@ -1,5 +1,7 @@
 //! Calls that have come to this process as a part's leader.
 
+use std::net::SocketAddr;
+
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
 use rainlug_batch::Command;
@@ -7,51 +9,89 @@
 use rainlug_registry::Configuration;
 
 use crate::control::{Change, Store};
-use crate::frame::{Request, Text, join};
-use crate::shard::Wanted;
-use crate::{Answer, CONTROL, Coordinator, Origin};
+use crate::frame::{Head, Request, Text, join};
+use crate::shard::ReadQuery;
+use crate::{Answer, CONTROL, Coordinator, Effect};
 
 /// Reads of batch jobs that wait for a round at once, over all parts led here: one round may answer all of them in one step, each with
 /// 1 MB at most. Rounds take a few milliseconds, so that this many wait only where rounds or steps are slow.
 const MOST_READS: usize = 16;
 /// When to come back with a read that was one too many.
 const READ_RETRY: Time = SECOND / 5;
+/// The longest delay that an answer to another process names, in milliseconds.
+const MAX_RETRY_MS: Time = 60_000;
+
+/// Whom a shard's leader answers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Origin {
+    /// A call to a shard that this process made itself, by its nonce.
+    Own(u64),
+    /// Another process's call.
+    Remote {
+        /// Where that process hears its peers.
+        to: SocketAddr,
+        /// The call's nonce there.
+        nonce: u64,
+    },
+    /// A caller of this process, by its ticket.
+    Caller(u64),
+}
 
 impl Coordinator {
+    /// Answers whoever waits for a request to a shard.
+    pub(crate) fn reply(&mut self, origin: Origin, answer: Answer) {
+        match origin {
+            Origin::Own(nonce) => self.complete_call(nonce, answer),
+            Origin::Caller(ticket) => self.answer(ticket, answer),
+            Origin::Remote { to, nonce } => {
+                let retry_ms =
+                    answer.retry_after.map_or(0, |delay| (delay / 1000).clamp(1, MAX_RETRY_MS) as u32);
+                let head =
+                    Head::Answer { nonce, status: answer.status, retry_ms, json: u8::from(answer.is_json) };
+                self.effects.push(Effect::Frame { to, head: join(&head, &[]), tail: answer.body });
+            }
+        }
+    }
+
     /// A call that has come to this process as a part's leader.
-    pub(crate) fn serve(&mut self, origin: Origin, number: u16, request: Request, tail: Bytes) {
+    pub(crate) fn handle_request(&mut self, origin: Origin, number: u16, request: Request, tail: Bytes) {
         if !self.shards.get(&number).is_some_and(|p| p.replica.leads()) {
-            return self.send_elsewhere(number, origin);
+            return self.redirect(number, origin);
         }
         let name = |text: &Text| text.to_str().map(str::to_owned).unwrap_or_default();
         match (number, request) {
-            (_, Request::Locate) => self.send_elsewhere(number, origin),
+            (_, Request::Locate) => self.redirect(number, origin),
             (CONTROL, Request::Configure { base }) => self.configure(origin, base, tail),
-            (CONTROL, Request::Configuration) => self.read(number, origin, Wanted::Configuration),
-            (CONTROL, Request::Retire { store }) => self.read(number, origin, Wanted::Retire(name(&store))),
-            (CONTROL, Request::Retiring { store }) => {
-                self.read(number, origin, Wanted::Retiring(name(&store)))
+            (CONTROL, Request::Configuration) => self.begin_read(number, origin, ReadQuery::Configuration),
+            (CONTROL, Request::Retire { store }) => {
+                self.begin_read(number, origin, ReadQuery::Retire(name(&store)))
+            }
+            (CONTROL, Request::RetirementStatus { store }) => {
+                self.begin_read(number, origin, ReadQuery::RetirementStatus(name(&store)))
             }
-            (CONTROL, Request::Join { seat }) => {
-                if let Ok(member) = seat.member() {
+            (CONTROL, Request::Join { member }) => {
+                if let Ok(member) = member.to_member() {
                     self.joiners.insert(member.id, (member, self.now.steady));
                 }
-                self.reply(origin, Answer::of(200));
+                self.reply(origin, Answer::with_status(200));
             }
-            (CONTROL, Request::Shelve { seat }) => {
-                let known = seat.member().ok().and_then(|m| {
+            (CONTROL, Request::RegisterStore { member }) => {
+                let known = member.to_member().ok().and_then(|m| {
                     let control = self.shards.get(&CONTROL)?.control()?;
                     Some(control.stores.get(&m.name)?.member == m)
                 });
                 match known {
-                    Some(true) => self.reply(origin, Answer::of(200)),
+                    Some(true) => self.reply(origin, Answer::with_status(200)),
                     _ => {
-                        self.propose(number, origin, join(&Change::Store { seat }, &[]));
+                        self.propose(number, origin, join(&Change::RegisterStore { member }, &[]));
                     }
                 }
             }
-            (CONTROL, Request::Seated { shard, term, index, retirements, count, seats }) => {
-                let change = Change::Seated { shard, term, index, retirements, count, seats };
+            (
+                CONTROL,
+                Request::ReportReplicaSet { shard, term, index, retirements, member_count, members },
+            ) => {
+                let change = Change::SetReplicaSet { shard, term, index, retirements, member_count, members };
                 self.propose(number, origin, join(&change, &[]));
             }
             (1.., Request::Submit { job, route }) => {
@@ -59,21 +99,25 @@
             }
             (1.., Request::Read { job, since, wait_ms }) => {
                 if self.reads_in_hand() >= MOST_READS {
-                    return self.reply(origin, Answer::later(503, READ_RETRY));
+                    return self.reply(origin, Answer::retry_after(503, READ_RETRY));
                 }
                 let until = self.now.steady + Time::from(wait_ms.min(2000)) * 1000;
-                self.read(number, origin, Wanted::BatchJob { job: name(&job), since, until });
+                self.begin_read(number, origin, ReadQuery::BatchJob { job: name(&job), since, until });
             }
             (1.., Request::Body { job, item }) => {
-                self.read(number, origin, Wanted::Body { job: name(&job), item: name(&item) });
+                self.begin_read(number, origin, ReadQuery::Body { job: name(&job), item: name(&item) });
             }
-            (1.., Request::End { job }) => self.end(number, origin, name(&job)),
+            (1.., Request::End { job }) => self.end_job(number, origin, name(&job)),
             (1.., Request::Reserve { job, route, shard, tokens, most }) => {
                 let (route, job, at) = (name(&route), name(&job), self.now.wall);
-                self.reserve(number, origin, Command::Reserve { route, job, shard, tokens, most, at });
+                self.receive_reservation(
+                    number,
+                    origin,
+                    Command::Reserve { route, job, shard, tokens, most, at },
+                );
             }
-            (1.., Request::Settle) => self.settle_tokens(number, origin, &tail),
-            _ => self.reply(origin, Answer::of(400)),
+            (1.., Request::ReportUsage) => self.receive_usage_report(number, origin, &tail),
+            _ => self.reply(origin, Answer::with_status(400)),
         }
     }
 
@@ -83,13 +127,13 @@
         match shard.replica.propose(self.now.steady, command.clone()) {
             Ok((index, _)) => {
                 if let Some((_, lost)) = shard.waiting.insert(index, (command, origin)) {
-                    self.send_proposed_elsewhere(number, lost);
+                    self.redirect_proposed(number, lost);
                 }
-                self.drain(number);
+                self.process_output(number);
                 true
             }
             Err(Refused::NotLeader(_) | Refused::Busy) => {
-                self.send_elsewhere(number, origin);
+                self.redirect(number, origin);
                 false
             }
         }
@@ -97,27 +141,29 @@
 
     /// Reads of batch jobs that wait for a round; those that wait for an output are not among them.
     fn reads_in_hand(&self) -> usize {
-        let is_of_job = |wanted: &Wanted| matches!(wanted, Wanted::BatchJob { .. });
+        let is_of_job = |query: &ReadQuery| matches!(query, ReadQuery::BatchJob { .. });
         let reads = self.shards.values().flat_map(|shard| shard.reads.values());
-        reads.filter(|(_, wanted)| is_of_job(wanted)).count()
+        reads.filter(|(_, query)| is_of_job(query)).count()
     }
 
-    pub(crate) fn read(&mut self, number: u16, origin: Origin, wanted: Wanted) {
+    pub(crate) fn begin_read(&mut self, number: u16, origin: Origin, query: ReadQuery) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
         shard.tickets += 1;
-        shard.reads.insert(shard.tickets, (origin, wanted));
+        shard.reads.insert(shard.tickets, (origin, query));
         shard.replica.read(self.now.steady, shard.tickets);
-        self.drain(number);
+        self.process_output(number);
     }
 
     pub(crate) fn configure(&mut self, origin: Origin, base: u64, text: Bytes) {
-        let Ok(read) = Configuration::read(&text) else { return self.reply(origin, Answer::of(400)) };
+        let Ok(read) = Configuration::read(&text) else {
+            return self.reply(origin, Answer::with_status(400));
+        };
         let Some(control) = self.shards.get(&CONTROL).and_then(|p| p.control()) else { return };
         let version = read.version;
         // An accepted order stays accepted, so this copy may say so. Every refusal is agreed on first: a leader that was replaced
         // without knowing it has an old copy.
         if control.accepted(version, &text) {
-            return self.reply(origin, Answer::of(200));
+            return self.reply(origin, Answer::with_status(200));
         }
         self.propose(CONTROL, origin, join(&Change::Configure { base, version }, &text));
     }
@@ -126,51 +172,54 @@
     pub(crate) fn retire(&mut self, origin: Origin, store: String) {
         let Some(control) = self.shards.get(&CONTROL).and_then(|p| p.control()) else { return };
         let Some(entry) = control.stores.get(&store) else {
-            return self.reply(origin, Answer::of(404));
+            return self.reply(origin, Answer::with_status(404));
         };
         if entry.is_retiring() {
-            return self.reply(origin, Answer::of(200));
+            return self.reply(origin, Answer::with_status(200));
         }
         let stays = |other: &&Store| other.member.name != store && !other.is_retiring();
         let (listed, living) =
             control.stores.values().filter(stays).fold((0, 0), |(listed, living), other| {
-                (listed + 1, living + usize::from(self.living.contains_key(&other.member.at)))
+                (listed + 1, living + usize::from(self.peers.live.contains_key(&other.member.at)))
             });
         // As many as a group must have for the loss of what is to be borne.
         let least = self.info.fewest_members();
         if listed < least {
-            return self.reply(origin, Answer::of(409));
+            return self.reply(origin, Answer::with_status(409));
         }
         if living < least {
             // Those out of sight may be back soon: this is no final answer.
-            return self.reply(origin, Answer::later(503, SECOND / 5));
+            return self.reply(origin, Answer::retry_after(503, SECOND / 5));
         }
         self.propose(CONTROL, origin, join(&Change::Retire { store: store.as_str().into() }, &[]));
     }
 
     /// A read whose round has come back is answered.
-    pub(crate) fn show(&mut self, number: u16, origin: Origin, wanted: Wanted) {
-        match wanted {
-            Wanted::Configuration => {
+    pub(crate) fn answer_read(&mut self, number: u16, origin: Origin, query: ReadQuery) {
+        match query {
+            ReadQuery::Configuration => {
                 let Some(control) = self.shards.get(&number).and_then(|p| p.control()) else { return };
                 let text = control.text.clone();
-                let none = Answer::of(404);
+                let none = Answer::with_status(404);
                 self.reply(origin, if text.is_empty() { none } else { Answer::json(200, text) });
             }
-            Wanted::Retire(store) => self.retire(origin, store),
-            Wanted::Retiring(store) => {
+            ReadQuery::Retire(store) => self.retire(origin, store),
+            ReadQuery::RetirementStatus(store) => {
                 let Some(control) = self.shards.get(&number).and_then(|p| p.control()) else { return };
                 let Some(entry) = control.stores.get(&store) else {
-                    return self.reply(origin, Answer::of(404));
+                    return self.reply(origin, Answer::with_status(404));
                 };
                 let state = if control.may_go(entry) { "complete" } else { "active" };
                 self.reply(origin, Answer::json(200, format!("{{\"state\":\"{state}\"}}")));
             }
-            Wanted::BatchJob { job, since, until } => self.show_job(number, origin, job, since, until),
-            Wanted::Body { job, item } => {
+            ReadQuery::BatchJob { job, since, until } => {
+                self.answer_job_read(number, origin, job, since, until)
+            }
+            ReadQuery::Body { job, item } => {
                 let Some(register) = self.shards.get(&number).and_then(|p| p.register()) else { return };
                 let body = register.body(&job, &item);
-                let answer = body.map_or(Answer::of(404), |body| Answer { body, ..Answer::of(200) });
+                let answer =
+                    body.map_or(Answer::with_status(404), |body| Answer { body, ..Answer::with_status(200) });
                 self.reply(origin, answer);
             }
         }
--- a/crates/coordinator/src/shard.rs
+++ b/crates/coordinator/src/shard.rs
@@ -10,12 +10,13 @@
 
 use crate::capacity::{LogUse, ShardDisk};
 use crate::control::{Control, Outcome};
+use crate::dissemination::{Held, News};
 use crate::frame::{Head, join};
 use crate::invariants::Invariant;
-pub(crate) use crate::machine::Machine;
-use crate::machine::{RestoreError, Restoring};
-use crate::quota::{Reports, Submitting};
-use crate::{Answer, CONTROL, Coordinator, Effect, Held, News, Origin, SPREADING};
+use crate::quota::{Submission, UsageReports};
+pub(crate) use crate::state_machine::StateMachine;
+use crate::state_machine::{RestoreError, Restoring};
+use crate::{Answer, CONTROL, Coordinator, Effect, MAX_SPREAD_WAIT, Origin};
 
 /// Versions of the roster that one term has, as a power of two: those of later leaders are newer.
 const ROSTERS_OF_A_TERM: u32 = 24;
@@ -23,11 +24,11 @@
 const MOST_TAKES: usize = 64;
 
 /// A read that waits for its round, or for something to read.
-pub(crate) enum Wanted {
+pub(crate) enum ReadQuery {
     Configuration,
     /// Nothing to read: the order is judged once this leader is confirmed.
     Retire(String),
-    Retiring(String),
+    RetirementStatus(String),
     BatchJob {
         job: String,
         since: u64,
@@ -42,31 +43,31 @@
 pub(crate) struct Shard {
     pub number: u16,
     pub replica: Replica,
-    pub machine: Machine,
+    pub state_machine: StateMachine,
     /// A state that is built beside the one in force.
     pub restoring: Option<Restoring>,
     /// Tokens of the routes that this part counts.
     pub quota_ledger: QuotaLedger,
     /// What its leader reports to ledgers; none while it does not lead.
-    pub reports: Option<Reports>,
+    pub reports: Option<UsageReports>,
     /// Proposals by index, with the command: another one committed there is not theirs.
     pub waiting: BTreeMap<Index, (Bytes, Origin)>,
-    pub reads: BTreeMap<u64, (Origin, Wanted)>,
+    pub reads: BTreeMap<u64, (Origin, ReadQuery)>,
     pub polls: Vec<(Origin, String, u64, Time)>,
     pub tickets: u64,
-    pub led: bool,
+    pub is_leader: bool,
     /// Its leader's plan of items; none while it does not lead.
     pub schedule: Option<Schedule>,
     /// No item is begun before.
-    pub pause: Time,
-    pub swept: Time,
+    pub next_item_at: Time,
+    pub last_sweep: Time,
     /// Since when it may be given up: nobody leads it, and its group is told to be without this disk.
-    pub seatless_since: Option<Time>,
+    pub nonmember_since: Option<Time>,
     pub disk: ShardDisk,
     /// A snapshot of the machine is asked for.
-    pub compact_wanted: bool,
+    pub is_snapshot_wanted: bool,
     /// Batch jobs that are judged or proposed and not agreed on.
-    pub submitting: BTreeMap<String, Submitting>,
+    pub submissions: BTreeMap<String, Submission>,
 }
 
 impl Shard {
@@ -83,7 +84,7 @@
         Ok(Shard {
             number,
             replica,
-            machine: Machine::empty(number),
+            state_machine: StateMachine::empty(number),
             restoring: None,
             quota_ledger: QuotaLedger::default(),
             reports: None,
@@ -91,21 +92,21 @@
             reads: BTreeMap::new(),
             polls: Vec::new(),
             tickets: 0,
-            led: false,
+            is_leader: false,
             schedule: None,
-            pause: 0,
-            swept: now,
-            seatless_since: None,
+            next_item_at: 0,
+            last_sweep: now,
+            nonmember_since: None,
             disk: ShardDisk::of(records),
-            compact_wanted: false,
-            submitting: BTreeMap::new(),
+            is_snapshot_wanted: false,
+            submissions: BTreeMap::new(),
         })
     }
 
     /// A step of replacing the state machine's whole state.
     fn restore(&mut self, step: Restore) -> Result<(), RestoreError> {
         match step {
-            Restore::Begin => self.restoring = Some(self.machine.restore_begin()),
+            Restore::Begin => self.restoring = Some(self.state_machine.restore_begin()),
             Restore::Abandon => self.restoring = None,
             Restore::Chunk(chunk) => {
                 self.restoring.as_mut().ok_or(RestoreError::NotBegun)?.take(&chunk)?;
@@ -113,41 +114,47 @@
             Restore::Finish(_) => {
                 let restoring = self.restoring.take().ok_or(RestoreError::NotBegun)?;
                 let (machine, quota_ledger) = restoring.finish()?;
-                self.machine = machine;
+                self.state_machine = machine;
                 self.quota_ledger = quota_ledger;
             }
         }
         Ok(())
     }
 
+    /// When the replica, a waiting read, the next item or a usage report is due (steady clock).
+    pub fn next_timeout(&self) -> Time {
+        let report = self.reports.as_ref().map_or(Time::MAX, |reports| reports.next());
+        self.replica.next().min(self.next_poll()).min(report)
+    }
+
     pub fn next_poll(&self) -> Time {
         let polls = self.polls.iter().map(|p| p.3).min().unwrap_or(Time::MAX);
         let waits = self.schedule.as_ref().is_some_and(|s| s.waiting() > 0);
-        if waits && self.pause > 0 { polls.min(self.pause) } else { polls }
+        if waits && self.next_item_at > 0 { polls.min(self.next_item_at) } else { polls }
     }
 
     pub fn control(&self) -> Option<&Control> {
-        match &self.machine {
-            Machine::Control(control) => Some(control),
-            Machine::BatchJobs(_) => None,
+        match &self.state_machine {
+            StateMachine::Control(control) => Some(control),
+            StateMachine::BatchJobs(_) => None,
         }
     }
 
     pub fn register(&self) -> Option<&Register> {
-        match &self.machine {
-            Machine::BatchJobs(register) => Some(register),
-            Machine::Control(_) => None,
+        match &self.state_machine {
+            StateMachine::BatchJobs(register) => Some(register),
+            StateMachine::Control(_) => None,
         }
     }
 
     /// Its log's part of the disk.
     pub fn log_use(&self) -> LogUse {
         let length = self.disk.length;
-        match &self.machine {
-            Machine::BatchJobs(register) => {
+        match &self.state_machine {
+            StateMachine::BatchJobs(register) => {
                 LogUse { length, rewritten: register.size() as u64, totals: register.totals() }
             }
-            Machine::Control(control) => {
+            StateMachine::Control(control) => {
                 LogUse { length, rewritten: control.size() as u64, ..LogUse::default() }
             }
         }
@@ -159,7 +166,7 @@
         }
         let name = |what: &str| format!("part_{}_{what}", self.number);
         let mut metrics = vec![
-            (name("leads"), f64::from(u8::from(self.led))),
+            (name("leads"), f64::from(u8::from(self.is_leader))),
             (name("term"), self.replica.term() as f64),
             (name("members"), self.replica.members().0.len() as f64),
         ];
@@ -182,7 +189,7 @@
 impl Coordinator {
     /// Carries out what a part's replica wants: until it wants nothing more, or the state machine has had a bounded part of what
     /// it is to do. The replica's next time is now then, so that messages and signs of life of others come between.
-    pub(crate) fn drain(&mut self, number: u16) {
+    pub(crate) fn process_output(&mut self, number: u16) {
         for _ in 0..MOST_TAKES {
             let Some(shard) = self.shards.get_mut(&number) else { return };
             let output = shard.replica.take();
@@ -194,79 +201,79 @@
                 && output.reads.is_empty()
                 && !output.changed
                 && !output.compact;
-            if quiet && !std::mem::take(&mut shard.compact_wanted) {
+            if quiet && !std::mem::take(&mut shard.is_snapshot_wanted) {
                 break;
             }
             if quiet {
                 // Nothing is on its way to the disk but what it was handed: the rewrite may be put off and nothing is missing.
-                let state = shard.machine.snapshot_source(&shard.quota_ledger);
+                let state = shard.state_machine.snapshot_source(&shard.quota_ledger);
                 let size = state.size();
                 shard.replica.snapshot(self.now.steady, state);
                 self.effects.push(Effect::Log("snapshot", format!("part {number}: {size} bytes")));
                 continue;
             }
-            self.carry_out(number, output);
+            self.apply_output(number, output);
             if self.shards.get(&number).is_none_or(|shard| shard.replica.has_backlog()) {
                 break;
             }
         }
-        self.leading(number);
+        self.update_leadership(number);
     }
 
-    fn carry_out(&mut self, number: u16, output: Output) {
+    fn apply_output(&mut self, number: u16, output: Output) {
         self.check_step(&output);
         for (to, bytes) in output.messages {
             self.effects.push(Effect::Frame {
                 to: to.at,
-                head: join(&Head::Group { shard: number }, &[]),
+                head: join(&Head::Consensus { shard: number }, &[]),
                 tail: bytes,
             });
         }
         if let Some(Rewrite { ticket, records, is_implied }) = output.rewrite {
             let implied = if is_implied { records.count() } else { 0 };
-            self.saving(number, ticket);
+            self.record_write(number, ticket);
             self.effects.push(Effect::Rewrite { shard: number, ticket, records, implied });
         }
         if let Some((ticket, _)) = output.save.last() {
             let ticket = *ticket;
-            self.saving(number, ticket);
+            self.record_write(number, ticket);
             let records = output.save.into_iter().map(|(_, record)| record).collect();
-            self.effects.push(Effect::Save { shard: number, ticket, records });
+            self.effects.push(Effect::Append { shard: number, ticket, records });
         }
         for step in output.restore {
             self.restore(number, step);
         }
         let agreed = !output.committed.is_empty();
         for (index, command) in output.committed {
-            self.committed(number, index, &command);
+            self.apply_command(number, index, &command);
         }
         if agreed && number == CONTROL {
             // Not after each command: a new leader applies its whole log at once, and what is old is in force nowhere again.
-            self.post();
+            self.publish_control_state();
         }
         for (ticket, result) in output.reads {
             let Some(shard) = self.shards.get_mut(&number) else { return };
-            let Some((origin, wanted)) = shard.reads.remove(&ticket) else { continue };
+            let Some((origin, query)) = shard.reads.remove(&ticket) else { continue };
             match result {
-                Ok(()) => self.show(number, origin, wanted),
-                Err(_) => self.send_elsewhere(number, origin),
+                Ok(()) => self.answer_read(number, origin, query),
+                Err(_) => self.redirect(number, origin),
             }
         }
         if output.compact
             && let Some(shard) = self.shards.get_mut(&number)
         {
             if output.is_state_wanted || shard.log_use().pays() {
-                shard.compact_wanted = true;
+                shard.is_snapshot_wanted = true;
             } else {
                 shard.replica.postpone_snapshot();
             }
         }
         if output.changed && number == CONTROL {
-            self.post();
+            self.publish_control_state();
         }
     }
 
-    fn saving(&mut self, number: u16, ticket: u64) {
+    fn record_write(&mut self, number: u16, ticket: u64) {
         let now = self.now.steady;
         if let Some(shard) = self.shards.get_mut(&number) {
             shard.disk.saving(now, ticket);
@@ -284,51 +291,51 @@
         }
     }
 
-    fn committed(&mut self, number: u16, index: Index, command: &Bytes) {
+    fn apply_command(&mut self, number: u16, index: Index, command: &Bytes) {
         let now = self.now.steady;
         let Some(shard) = self.shards.get_mut(&number) else { return };
         let mine = shard.waiting.remove(&index).map(|(own, origin)| (own == command, origin));
-        match &mut shard.machine {
-            Machine::Control(control) => {
+        match &mut shard.state_machine {
+            StateMachine::Control(control) => {
                 let outcome = control.apply(command);
                 let version = control.version;
                 let Some((own, origin)) = mine else { return };
                 let answer = match outcome {
-                    _ if !own => return self.send_proposed_elsewhere(number, origin),
-                    Ok(Outcome::Done) => Answer::of(200),
+                    _ if !own => return self.redirect_proposed(number, origin),
+                    Ok(Outcome::Done) => Answer::with_status(200),
                     Ok(Outcome::Conflict) => Answer::json(412, format!("{{\"version\":{version}}}")),
                     Ok(Outcome::Stale) => {
                         Answer::json(400, "{\"error\":\"/version: above the one in force\"}")
                     }
-                    Ok(Outcome::Unknown) => Answer::of(404),
-                    Err(_) => Answer::of(500),
+                    Ok(Outcome::Unknown) => Answer::with_status(404),
+                    Err(_) => Answer::with_status(500),
                 };
-                let (until, news) = (now + SPREADING, News::Configuration(version));
-                self.held.push(Held { origin, answer, until, news });
+                let (until, news) = (now + MAX_SPREAD_WAIT, News::Configuration(version));
+                self.pending_acknowledgements.push(Held { origin, answer, until, news });
             }
-            Machine::BatchJobs(_) => self.jobs_committed(number, command, mine),
+            StateMachine::BatchJobs(_) => self.apply_batch_command(number, command, mine),
         }
     }
 
     /// What follows from who leads.
-    fn leading(&mut self, number: u16) {
+    fn update_leadership(&mut self, number: u16) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
         let leads = shard.replica.leads();
-        if leads == shard.led {
+        if leads == shard.is_leader {
             return;
         }
-        shard.led = leads;
+        shard.is_leader = leads;
         let is_whole = !leads || shard.restoring.is_none();
         let term = shard.replica.term();
         if leads {
-            if let Machine::BatchJobs(register) = &shard.machine {
+            if let StateMachine::BatchJobs(register) = &shard.state_machine {
                 shard.schedule = Some(Schedule::new(register, self.now.wall));
-                shard.reports = Some(Reports::new(register, term, self.now.wall));
+                shard.reports = Some(UsageReports::new(register, term, self.now.wall));
             }
             self.effects.push(Effect::Log("leads", format!("part {number}, term {term}")));
             self.check(Invariant::LeaderWhole, is_whole, || format!("part {number}, term {term}"));
             if number == CONTROL {
-                self.post();
+                self.publish_control_state();
             }
         } else {
             (shard.schedule, shard.reports) = (None, None);
@@ -337,18 +344,18 @@
             let mut origins: Vec<Origin> = Vec::new();
             origins.extend(std::mem::take(&mut shard.reads).into_values().map(|r| r.0));
             origins.extend(std::mem::take(&mut shard.polls).into_iter().map(|p| p.0));
-            for submitting in std::mem::take(&mut shard.submitting).into_values() {
-                if submitting.is_proposed() { &mut proposed } else { &mut origins }
-                    .extend(submitting.origins);
+            for submission in std::mem::take(&mut shard.submissions).into_values() {
+                if submission.is_proposed() { &mut proposed } else { &mut origins }
+                    .extend(submission.origins);
             }
-            proposed.into_iter().for_each(|origin| self.send_proposed_elsewhere(number, origin));
-            origins.into_iter().for_each(|origin| self.send_elsewhere(number, origin));
+            proposed.into_iter().for_each(|origin| self.redirect_proposed(number, origin));
+            origins.into_iter().for_each(|origin| self.redirect(number, origin));
             self.effects.push(Effect::Log("steps down", format!("part {number}, term {term}")));
         }
     }
 
     /// The leader of the configuration's part enters what is agreed on in the gossip.
-    pub(crate) fn post(&mut self) {
+    pub(crate) fn publish_control_state(&mut self) {
         let Some(shard) = self.shards.get(&CONTROL).filter(|p| p.replica.leads()) else { return };
         let Some(control) = shard.control() else { return };
         let (version, text) = (control.version, control.text.clone());
--- a/crates/coordinator/src/machine.rs
+++ b/crates/coordinator/src/state_machine.rs
@@ -25,7 +25,7 @@
 }
 
 /// The state machine in force.
-pub(crate) enum Machine {
+pub(crate) enum StateMachine {
     Control(Control),
     BatchJobs(Register),
 }
@@ -61,21 +61,21 @@
     }
 }
 
-impl Machine {
+impl StateMachine {
     /// A part's state machine that has applied nothing.
     pub fn empty(shard: u16) -> Self {
         if shard == CONTROL {
-            Machine::Control(Control::default())
+            StateMachine::Control(Control::default())
         } else {
-            Machine::BatchJobs(Register::default())
+            StateMachine::BatchJobs(Register::default())
         }
     }
 
     /// Its state and the ledger's as of now, to be read piece by piece later on.
     pub fn snapshot_source(&self, quota_ledger: &QuotaLedger) -> Arc<dyn SnapshotSource> {
         match self {
-            Machine::Control(control) => Arc::new(InMemoryState::new(control.snapshot(), CHUNK_BYTES)),
-            Machine::BatchJobs(register) => Arc::new(BatchShardSource {
+            StateMachine::Control(control) => Arc::new(InMemoryState::new(control.snapshot(), CHUNK_BYTES)),
+            StateMachine::BatchJobs(register) => Arc::new(BatchShardSource {
                 quota_ledger: quota_ledger.snapshot(),
                 register: register.snapshot(),
             }),
@@ -85,8 +85,8 @@
     /// Another state, empty, to be built beside this one.
     pub fn restore_begin(&self) -> Restoring {
         match self {
-            Machine::Control(_) => Restoring::Control(BytesMut::new()),
-            Machine::BatchJobs(_) => Restoring::BatchJobs(None, Box::default()),
+            StateMachine::Control(_) => Restoring::Control(BytesMut::new()),
+            StateMachine::BatchJobs(_) => Restoring::BatchJobs(None, Box::default()),
         }
     }
 }
@@ -113,16 +113,16 @@
     ///
     /// # Errors
     /// Where the pieces are none of such a state machine's.
-    pub fn finish(self) -> Result<(Machine, QuotaLedger), RestoreError> {
+    pub fn finish(self) -> Result<(StateMachine, QuotaLedger), RestoreError> {
         match self {
             Restoring::Control(bytes) => {
                 let control = Control::restore(&bytes.freeze()).map_err(|_| RestoreError::Malformed)?;
-                Ok((Machine::Control(control), QuotaLedger::default()))
+                Ok((StateMachine::Control(control), QuotaLedger::default()))
             }
             Restoring::BatchJobs(quota_ledger, register) => {
                 let quota_ledger = quota_ledger.ok_or(RestoreError::Malformed)?;
                 let register = register.finish().map_err(|_| RestoreError::Malformed)?;
-                Ok((Machine::BatchJobs(register), quota_ledger))
+                Ok((StateMachine::BatchJobs(register), quota_ledger))
             }
         }
     }
--- a/crates/coordinator/src/topology.rs
+++ b/crates/coordinator/src/topology.rs
@@ -136,5 +136,5 @@
 /// # Errors
 /// Where a seat's name is no text.
 pub fn members(seats: &[MemberRecord]) -> Result<Vec<Member>, DecodeError> {
-    seats.iter().map(MemberRecord::member).collect()
+    seats.iter().map(MemberRecord::to_member).collect()
 }
--- a/crates/coordinator/src/worker_calls.rs
+++ b/crates/coordinator/src/worker_calls.rs
@@ -4,18 +4,18 @@
 use rainlug_registry::{Phase, Worker};
 
 use crate::dissemination::{Held, News};
-use crate::{Answer, Coordinator, Origin, SPREADING};
+use crate::{Answer, Coordinator, MAX_SPREAD_WAIT, Origin};
 
 impl Coordinator {
     pub(crate) fn heartbeat(&mut self, ticket: u64, worker: Worker) {
         let (id, service, phase) = (worker.id.clone(), worker.service.clone(), worker.phase);
         self.enter(worker);
         if self.is_isolated(self.now) {
-            return self.answer(ticket, Answer::later(503, SECOND / 5));
+            return self.answer(ticket, Answer::retry_after(503, SECOND / 5));
         }
         let registrar = self.registrar(&service);
         let elsewhere = registrar.filter(|at| *at != self.info.at);
-        let control = elsewhere.and_then(|at| self.living.get(&at)).and_then(|(_, control)| *control);
+        let control = elsewhere.and_then(|at| self.peers.live.get(&at)).and_then(|peer| peer.control);
         if elsewhere.is_none() {
             self.heartbeats.insert(id.clone(), self.now.steady);
         }
@@ -41,7 +41,7 @@
         self.enter(gone);
         self.heartbeats.remove(&id);
         if self.is_isolated(self.now) {
-            return self.answer(ticket, Answer::later(503, SECOND / 5));
+            return self.answer(ticket, Answer::retry_after(503, SECOND / 5));
         }
         self.hold(ticket, Answer::json(200, "{}"), id);
     }
@@ -52,7 +52,7 @@
         if !self.gossip.is_worker_spreading(&worker) && self.is_known_to_core(&worker) {
             return self.answer(ticket, answer);
         }
-        let (origin, until) = (Origin::Caller(ticket), self.now.steady + SPREADING);
-        self.held.push(Held { origin, answer, until, news: News::Worker(worker) });
+        let (origin, until) = (Origin::Caller(ticket), self.now.steady + MAX_SPREAD_WAIT);
+        self.pending_acknowledgements.push(Held { origin, answer, until, news: News::Worker(worker) });
     }
 }
--- a/crates/coordinator/tests/admission.rs
+++ b/crates/coordinator/tests/admission.rs
@@ -77,7 +77,7 @@
 
 fn assert_refused(answer: &Answer) {
     assert_eq!(answer.status, 503);
-    let retry = answer.retry.expect("a refusal tells when to come back");
+    let retry = answer.retry_after.expect("a refusal tells when to come back");
     assert!((SECOND..=5 * SECOND).contains(&retry), "come back after {retry} us");
 }
 
@@ -188,7 +188,8 @@
             let Some(leader) = fleet.leader(shard) else { return false };
             let Some(coordinator) = &fleet.machines[leader].coordinator else { return false };
             let bytes = |at| figure(fleet, at, &format!("part_{shard}_bytes"));
-            let is_member = coordinator.leads(shard).2.iter().any(|member| Some(member.id) == id);
+            let is_member =
+                coordinator.shard_status(shard).members.iter().any(|member| Some(member.id) == id);
             is_member && bytes(at).is_some() && bytes(at) == bytes(leader)
         })
     };
--- a/crates/coordinator/tests/catch_up.rs
+++ b/crates/coordinator/tests/catch_up.rs
@@ -151,7 +151,8 @@
     fn has_caught_up(&self, at: usize) -> bool {
         const ON_THEIR_WAY: u64 = 2;
         let Some(leader) = self.fleet.leader(CONTROL) else { return false };
-        let seats = self.fleet.machines[leader].coordinator.as_ref().expect("it leads").leads(CONTROL).2;
+        let seats =
+            self.fleet.machines[leader].coordinator.as_ref().expect("it leads").shard_status(CONTROL).members;
         let disk = self.fleet.machines[at].disk.as_ref().map(|disk| disk.id);
         seats.iter().any(|seat| Some(seat.id) == disk)
             && self.last_saved(at) + ON_THEIR_WAY >= self.last_saved(leader)
--- a/crates/coordinator/tests/cold_review.rs
+++ b/crates/coordinator/tests/cold_review.rs
@@ -197,7 +197,10 @@
     fleet.start_all();
     let is_founding = |fleet: &Fleet| {
         stores(fleet).into_iter().any(|at| {
-            fleet.machines[at].coordinator.as_ref().is_some_and(|store| !store.leads(1).2.is_empty())
+            fleet.machines[at]
+                .coordinator
+                .as_ref()
+                .is_some_and(|store| !store.shard_status(1).members.is_empty())
         })
     };
     assert!(fleet.until(15.0, is_founding), "seed {seed}: nothing is founded");
--- a/crates/coordinator/tests/cold_review_faults.rs
+++ b/crates/coordinator/tests/cold_review_faults.rs
@@ -64,7 +64,7 @@
 /// Members of a part's group, by the place of their machines.
 fn group(fleet: &Fleet, shard: u16) -> Vec<usize> {
     let Some(leader) = fleet.leader(shard) else { return Vec::new() };
-    let members = fleet.machines[leader].coordinator.as_ref().expect("it runs").leads(shard).2;
+    let members = fleet.machines[leader].coordinator.as_ref().expect("it runs").shard_status(shard).members;
     let place = |at| fleet.machines.iter().position(|machine| machine.at == at);
     members.iter().filter_map(|member| place(member.at)).collect()
 }
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use rainlug::{SECOND, Time};
 use rainlug_batch::RunEnd;
 use rainlug_coordinator::{
-    Answer, Call, Coordinator, Effect, KEEP_SLACK, NodeInfo, Now, founding_id, shard_of_job,
+    Answer, Call, Coordinator, Effect, NodeInfo, Now, RETENTION_SLACK, founding_id, shard_of_job,
 };
 use rainlug_registry::{Worker, WorkerReport};
 use rand::{Rng, SeedableRng};
@@ -232,7 +232,7 @@
             link_bytes_per_second: self.link_bytes_per_second,
             sync_time: self.sync_time,
             relays: true,
-            job_retention: self.status_time + KEEP_SLACK,
+            job_retention: self.status_time + RETENTION_SLACK,
             seed,
         };
         machine.coordinator = Some(Coordinator::new(info, logs, now).expect("its own records"));
@@ -389,9 +389,9 @@
         let allocated_before = self.cost.map(|cost| (cost.allocated)());
         let Some(coordinator) = machine.coordinator.as_mut() else { return };
         match event {
-            Event::Datagram { from, bytes, .. } => coordinator.datagram(now, from, &bytes),
+            Event::Datagram { from, bytes, .. } => coordinator.receive_datagram(now, from, &bytes),
             Event::Frame { from, bytes, .. } => {
-                coordinator.frame(now, from, &bytes).expect("a frame of its own kind")
+                coordinator.receive_frame(now, from, &bytes).expect("a frame of its own kind")
             }
             Event::Saved { shard, ticket, .. } => {
                 if let Some(disk) = &mut machine.disk {
@@ -403,14 +403,14 @@
                 }
                 let kept = machine.disk.as_ref().and_then(|disk| disk.synced.get(&shard));
                 let length = kept.into_iter().flatten().map(|record| record.len() as u64).sum();
-                coordinator.saved(now, shard, ticket, length);
+                coordinator.persisted(now, shard, ticket, length);
             }
             Event::Wake { .. } => {
                 machine.wakes = Time::MAX;
-                coordinator.due(now);
+                coordinator.handle_timeout(now);
             }
             Event::Ran { shard, job, item, events, .. } => {
-                coordinator.ran(now, shard, &job, &item, events, RunEnd::Complete);
+                coordinator.item_finished(now, shard, &job, &item, events, RunEnd::Complete);
             }
         }
         if let (Some(cost), Some(before)) = (self.cost, allocated_before) {
@@ -433,7 +433,7 @@
     /// Carries out what the coordinator at a machine wants.
     fn after(&mut self, at: usize) {
         let Some(coordinator) = self.machines[at].coordinator.as_mut() else { return };
-        let effects = coordinator.take();
+        let effects = coordinator.take_effects();
         for (invariant, count) in coordinator.violations().counts().filter(|_| !self.has_damaged_disks) {
             assert_eq!(count, 0, "{at} violates {}: {effects:?}", invariant.name());
         }
@@ -464,8 +464,8 @@
                     self.order.insert((at, to), due);
                     self.push(due, Event::Frame { to, life, from, bytes });
                 }
-                Effect::Save { shard, ticket, records } => self.write(at, shard, ticket, false, records),
-                Effect::Renew { disk } => {
+                Effect::Append { shard, ticket, records } => self.write(at, shard, ticket, false, records),
+                Effect::ReplaceDiskIdentity { disk } => {
                     self.machines[at].disk = Some(Disk { id: disk, ..Disk::default() });
                 }
                 Effect::Rewrite { shard, ticket, records, implied } => {
@@ -485,7 +485,7 @@
                 Effect::Worker(worker) => {
                     self.machines[at].workers.insert(worker.id.clone(), worker);
                 }
-                Effect::Run { shard, next } => {
+                Effect::RunItem { shard, next } => {
                     self.runs.push((at, next.job.clone(), next.item.id.clone()));
                     let first = next.last_event + 1;
                     let padding = self.event_bytes;
@@ -497,7 +497,7 @@
                     let (job, item) = (next.job.clone(), next.item.id.clone());
                     self.push(self.now + self.run_time, Event::Ran { at, life, shard, job, item, events });
                 }
-                Effect::Others(_) => {}
+                Effect::PeerCount(_) => {}
                 Effect::Reports(reports) => self.machines[at].reports.extend(reports),
                 Effect::Log(what, text) => {
                     self.machines[at].log.push(format!("{} {what}: {text}", self.now / MS))
@@ -505,7 +505,7 @@
             }
         }
         let machine = &mut self.machines[at];
-        let next = machine.coordinator.as_ref().map_or(Time::MAX, |o| o.next());
+        let next = machine.coordinator.as_ref().map_or(Time::MAX, |o| o.next_timeout());
         if next < machine.wakes {
             machine.wakes = next;
             let life = machine.life;
@@ -544,7 +544,9 @@
 
     /// Who leads a part.
     pub fn leader(&self, shard: u16) -> Option<usize> {
-        let leads = |m: &Machine| !m.frozen && m.coordinator.as_ref().is_some_and(|o| o.leads(shard).0);
+        let leads = |m: &Machine| {
+            !m.frozen && m.coordinator.as_ref().is_some_and(|o| o.shard_status(shard).is_leader)
+        };
         self.machines.iter().position(leads)
     }
 }
--- a/crates/coordinator/tests/losses.rs
+++ b/crates/coordinator/tests/losses.rs
@@ -46,7 +46,7 @@
 fn is_retired(fleet: &mut Fleet, at: usize, store: &str, within: f64) -> bool {
     let end = fleet.now + (within * 1e6) as i64;
     while fleet.now < end {
-        let answer = fleet.ask(at, Call::Retiring { store: store.to_owned() }, 2.0);
+        let answer = fleet.ask(at, Call::RetirementStatus { store: store.to_owned() }, 2.0);
         if answer.is_some_and(|a| a.body == "{\"state\":\"complete\"}") {
             return true;
         }
@@ -176,7 +176,9 @@
     fleet.start(5, false);
     assert!(is_retired(&mut fleet, 0, &name, 10.0));
     fleet.pass(10.0);
-    let seats = |shard| fleet.machines[0].coordinator.as_ref().map(|c| c.leads(shard).2).unwrap_or_default();
+    let seats = |shard| {
+        fleet.machines[0].coordinator.as_ref().map(|c| c.shard_status(shard).members).unwrap_or_default()
+    };
     assert!((1..=BATCH_SHARDS).all(|shard| seats(shard).iter().all(|m| m.name != name)));
 }
 
--- a/crates/coordinator/tests/operators/stories.rs
+++ b/crates/coordinator/tests/operators/stories.rs
@@ -42,7 +42,7 @@
     let holds = |shard: u16| {
         let leader = fleet.leader(shard).expect("a leader");
         let coordinator = fleet.machines[leader].coordinator.as_ref().expect("it runs");
-        coordinator.leads(shard).2.iter().any(|member| member.at == address(store))
+        coordinator.shard_status(shard).members.iter().any(|member| member.at == address(store))
     };
     (1..=BATCH_SHARDS).filter(|shard| holds(*shard)).count()
 }
@@ -293,7 +293,7 @@
         campaign.fleet.pass(0.2 * seed as f64);
         campaign.fleet.start(FIRST_STORE, false);
         let begun = campaign.fleet.now;
-        let asked = Call::Retiring { store: name.clone() };
+        let asked = Call::RetirementStatus { store: name.clone() };
         while campaign.fleet.ask(2, asked.clone(), 1.0).is_none_or(|a| a.body != "{\"state\":\"complete\"}") {
             assert!(campaign.fleet.now - begun < 10 * SECOND, "seed {seed}: it is emptied");
             campaign.fleet.pass(0.05);
--- a/crates/coordinator/tests/promises.rs
+++ b/crates/coordinator/tests/promises.rs
@@ -39,7 +39,7 @@
 /// Members of a part's group, its leader first, by the place of their machines.
 fn group(fleet: &Fleet, shard: u16) -> Vec<usize> {
     let leader = fleet.leader(shard).expect("a leader");
-    let members = fleet.machines[leader].coordinator.as_ref().expect("it runs").leads(shard).2;
+    let members = fleet.machines[leader].coordinator.as_ref().expect("it runs").shard_status(shard).members;
     let place = |at| fleet.machines.iter().position(|machine| machine.at == at);
     let others = members.iter().filter_map(|member| place(member.at)).filter(|at| *at != leader);
     [leader].into_iter().chain(others).collect()
--- a/crates/coordinator/tests/quota.rs
+++ b/crates/coordinator/tests/quota.rs
@@ -132,7 +132,7 @@
         for (at, known) in taken.into_iter().take(GATEWAYS).enumerate() {
             let refused = fleet.ask(at, submit("one-more", 1), 2.0).expect("an answer");
             assert_eq!(refused.status, 429, "seed {seed}");
-            assert!(refused.retry.is_some_and(|pause| pause > 0));
+            assert!(refused.retry_after.is_some_and(|pause| pause > 0));
             assert_eq!(status(&mut fleet, at, submit(known, TENTH)), 202, "what is known is taken");
         }
         // Nothing is released that waits.
@@ -265,7 +265,7 @@
 /// Members of a part's group, by the place of their machines.
 fn group(fleet: &Fleet, shard: u16) -> Vec<usize> {
     let leader = fleet.leader(shard).expect("a leader");
-    let members = fleet.machines[leader].coordinator.as_ref().expect("it runs").leads(shard).2;
+    let members = fleet.machines[leader].coordinator.as_ref().expect("it runs").shard_status(shard).members;
     let place = |at| fleet.machines.iter().position(|machine| machine.at == at);
     members.iter().filter_map(|member| place(member.at)).collect()
 }
@@ -289,7 +289,7 @@
             let since = fleet.now;
             let refused = fleet.ask(1, submit(&name, 3), 4.0).expect("an answer");
             assert_eq!(refused.status, 503, "seed {seed}");
-            assert!(refused.retry.is_some_and(|pause| pause > 0));
+            assert!(refused.retry_after.is_some_and(|pause| pause > 0));
             assert!(fleet.now - since < SECOND, "seed {seed}: after {} ms", (fleet.now - since) / MS);
         }
         fleet.pass(5.0);
--- a/crates/coordinator/tests/restart.rs
+++ b/crates/coordinator/tests/restart.rs
@@ -73,7 +73,7 @@
             }
         }
         let coordinators = STORES.filter_map(|store| fleet.machines[store].coordinator.as_ref());
-        idle_in_between += coordinators.filter(|coordinator| coordinator.next() <= fleet.now).count();
+        idle_in_between += coordinators.filter(|coordinator| coordinator.next_timeout() <= fleet.now).count();
         false
     });
     println!("{before:?}, then {sizes:?}");
--- a/crates/coordinator/tests/stories.rs
+++ b/crates/coordinator/tests/stories.rs
@@ -31,7 +31,7 @@
     }
     for shard in CONTROL..=BATCH_SHARDS {
         let leader = fleet.leader(shard).expect("a leader");
-        let members = fleet.machines[leader].coordinator.as_ref().unwrap().leads(shard).2;
+        let members = fleet.machines[leader].coordinator.as_ref().unwrap().shard_status(shard).members;
         let zones: std::collections::BTreeSet<&str> =
             members.iter().map(|m| m.at.to_string().leak() as &str).collect();
         assert_eq!((members.len(), zones.len()), (3, 3), "part {shard}");
@@ -158,7 +158,7 @@
         assert_eq!(fleet.ask(n % 4, submit(&format!("job{n}"), 200), 3.0).map(|a| a.status), Some(202));
     }
     let refused = fleet.ask(2, submit("one-more", 1), 3.0).expect("an answer");
-    assert!(refused.status == 429 && refused.retry.is_some(), "{refused:?}");
+    assert!(refused.status == 429 && refused.retry_after.is_some(), "{refused:?}");
     assert_eq!(fleet.ask(1, Call::End { job: "job3".to_owned() }, 3.0).map(|a| a.status), Some(200));
     // The part of the ended job tells the route's ledger.
     fleet.pass(0.5);
@@ -215,7 +215,7 @@
     fleet.start(new, false);
     fleet.pass(10.0);
     let leader = fleet.leader(CONTROL).expect("a leader");
-    let members = fleet.machines[leader].coordinator.as_ref().unwrap().leads(CONTROL).2;
+    let members = fleet.machines[leader].coordinator.as_ref().unwrap().shard_status(CONTROL).members;
     let places: Vec<_> = members.iter().map(|m| m.at).collect();
     assert!(members.len() == 3 && places.contains(&common::address(new)), "{places:?}");
     // Now another one may be lost.
@@ -286,7 +286,8 @@
         let mut complete = false;
         for _ in 0..40 {
             fleet.pass(0.25);
-            let answer = fleet.ask(0, Call::Retiring { store: name.clone() }, 2.0).expect("an answer");
+            let answer =
+                fleet.ask(0, Call::RetirementStatus { store: name.clone() }, 2.0).expect("an answer");
             complete = answer.body == "{\"state\":\"complete\"}";
             if complete {
                 break;
@@ -342,7 +343,7 @@
         fleet.pass(1.0);
         for shard in 1..=BATCH_SHARDS {
             for store in 5..8 {
-                let members = fleet.machines[store].coordinator.as_ref().unwrap().leads(shard).2;
+                let members = fleet.machines[store].coordinator.as_ref().unwrap().shard_status(shard).members;
                 assert_eq!(members.len(), 3, "seed {seed}: part {shard} at {store}");
             }
             let leader = fleet.leader(shard).expect("a leader");
@@ -358,10 +359,11 @@
 fn given_a_store_that_hears_a_parts_leader_before_the_roster_then_it_begins_nothing_without_a_group() {
     let mut fleet = common::Fleet::new(3, 0, 1, 12);
     fleet.start(3, true);
-    let head = rainlug_coordinator::frame::join(&rainlug_coordinator::frame::Head::Group { shard: 1 }, b"");
+    let head =
+        rainlug_coordinator::frame::join(&rainlug_coordinator::frame::Head::Consensus { shard: 1 }, b"");
     let now = rainlug_coordinator::Now { steady: fleet.now, wall: fleet.now };
     let coordinator = fleet.machines[3].coordinator.as_mut().expect("it runs");
-    coordinator.frame(now, common::address(0), &head).expect("a frame");
+    coordinator.receive_frame(now, common::address(0), &head).expect("a frame");
     assert!(
         coordinator.metrics().iter().all(|(name, _)| !name.starts_with("part_1")),
         "a part without a group"
@@ -386,7 +388,7 @@
     });
     let refused = refused.expect("20 jobs of 100 items do not fit as long as their outputs may be long");
     assert_eq!(refused.status, 503);
-    assert!(refused.retry.is_some_and(|pause| pause > 0));
+    assert!(refused.retry_after.is_some_and(|pause| pause > 0));
     // 100 outputs of 4 KB and some each: four jobs on the disk, of which a quarter is kept for the part that may come from a lost store.
     assert_eq!(accepted.len(), 3);
     for id in &accepted {
@@ -413,7 +415,7 @@
     assert!(!fleet.answers.contains_key(&ticket), "nothing is acknowledged before it is saved");
     let refused = fleet.ask(6, submit(second, 3), 0.3).expect("an answer at once");
     assert_eq!(refused.status, 503);
-    assert!(refused.retry.is_some_and(|pause| pause > 0));
+    assert!(refused.retry_after.is_some_and(|pause| pause > 0));
     fleet.sync = MS;
     assert!(fleet.until(10.0, |fleet| fleet.answers.contains_key(&ticket)));
     assert_eq!(fleet.answers[&ticket].1.status, 202);
--- a/crates/coordinator/tests/uncommitted.rs
+++ b/crates/coordinator/tests/uncommitted.rs
@@ -57,7 +57,7 @@
     let late = jobs_of(SHARD, JOBS + 1).pop().unwrap();
     let answer = fleet.ask(3, submit(&late), 3.0).expect("an answer at once");
     assert_eq!(answer.status, 503);
-    assert!(answer.retry.is_some());
+    assert!(answer.retry_after.is_some());
 }
 
 #[test]
--- a/crates/coordinator/tests/vacating.rs
+++ b/crates/coordinator/tests/vacating.rs
@@ -17,7 +17,7 @@
 fn is_member(fleet: &Fleet, at: usize) -> bool {
     let id = fleet.machines[at].disk.as_ref().unwrap().id;
     let leader = fleet.leader(SHARD).expect("a leader");
-    let group = fleet.machines[leader].coordinator.as_ref().unwrap().leads(SHARD).2;
+    let group = fleet.machines[leader].coordinator.as_ref().unwrap().shard_status(SHARD).members;
     group.iter().any(|member| member.id == id)
 }
 
@@ -136,7 +136,7 @@
     // The change has just reached it; it cannot know whether that was committed.
     let is_named = |fleet: &Fleet| {
         let store = &fleet.machines[new];
-        let group = store.coordinator.as_ref().map(|coordinator| coordinator.leads(SHARD).2);
+        let group = store.coordinator.as_ref().map(|coordinator| coordinator.shard_status(SHARD).members);
         group.is_some_and(|group| group.iter().any(|member| member.at == store.at))
     };
     assert!(fleet.until(10.0, is_named));
--- a/crates/tier/src/control.rs
+++ b/crates/tier/src/control.rs
@@ -156,7 +156,7 @@
     }
 
     async fn carry_out(self, node: Rc<Node>) -> Answer {
-        node.call(Call::Retiring { store: self.0 }).await
+        node.call(Call::RetirementStatus { store: self.0 }).await
     }
 }
 
@@ -173,7 +173,7 @@
     }
 
     async fn carry_out(self, node: Rc<Node>) -> Answer {
-        Answer { body: node.metrics().into(), ..Answer::of(200) }
+        Answer { body: node.metrics().into(), ..Answer::with_status(200) }
     }
 }
 
@@ -242,7 +242,7 @@
             let mut link = Link::over(stream, head::request_body, &pool, seat);
             if let Err(end @ (End::Malformed | End::TooLarge)) = caller(node, &mut link).await {
                 let status = if end == End::TooLarge { 413 } else { 400 };
-                let _ = answer(&mut link, &Answer::of(status), true).await;
+                let _ = answer(&mut link, &Answer::with_status(status), true).await;
                 let _ = timeout(Duration::from_secs(1), link.finish()).await;
             }
         });
@@ -270,7 +270,7 @@
         let body = timeout_at(until, link.body()).await.unwrap_or(Err(End::TimedOut))?;
         let told = match find(&method, &path) {
             Ok((handler, rest)) => handler(node.clone(), Asked { rest, if_match, body }).await,
-            Err(status) => Answer::of(status),
+            Err(status) => Answer::with_status(status),
         };
         if told.status >= 400 && told.status != 412 {
             log::debug("call", &format!("{method} {path}: {}", told.status));
@@ -291,10 +291,10 @@
         reason(answer.status),
         answer.body.len()
     );
-    if answer.json {
+    if answer.is_json {
         head.push_str("Content-Type: application/json\r\n");
     }
-    if let Some(retry) = answer.retry {
+    if let Some(retry) = answer.retry_after {
         head.push_str(&format!("Retry-After: {:.3}\r\n", retry as f64 / 1e6));
     }
     if close {
--- a/crates/tier/src/metrics.rs
+++ b/crates/tier/src/metrics.rs
@@ -59,8 +59,8 @@
     let is_known =
         head::request(&head, |method, target, _| method == "GET" && target.split('?').next() == Some(PATH))?;
     let told = match is_known {
-        true => Answer { body: metrics().into(), ..Answer::of(200) },
-        false => Answer::of(404),
+        true => Answer { body: metrics().into(), ..Answer::with_status(200) },
+        false => Answer::with_status(404),
     };
     timeout(REQUEST, control::answer(link, &told, true)).await.unwrap_or(Err(End::TimedOut))?;
     let _ = timeout(FAREWELL, link.finish()).await;
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -12,7 +12,7 @@
 use quick_error::quick_error;
 use rainlug::Time;
 use rainlug_batch::{Next, RunEnd};
-use rainlug_coordinator::{Answer, Call, Coordinator, Effect, KEEP_SLACK, NodeInfo, Now, founding_id};
+use rainlug_coordinator::{Answer, Call, Coordinator, Effect, NodeInfo, Now, RETENTION_SLACK, founding_id};
 use rainlug_fleet::envelope::{Envelope, MOST};
 use rainlug_gateway::{Gateway, Item, RanEnd, Reply, Replying};
 use rainlug_placement::Mechanisms;
@@ -148,7 +148,7 @@
             link_bytes_per_second: settings.limits.link_bytes_per_second(),
             sync_time: settings.bounds.sync_time(),
             relays: mechanisms.contains(Mechanisms::RELAYS),
-            job_retention: (settings.bounds.status_s * 1e6) as Time + KEEP_SLACK,
+            job_retention: (settings.bounds.status_s * 1e6) as Time + RETENTION_SLACK,
             seed: draw(),
         };
         let socket = UdpSocket::bind(peer).await.map_err(|e| Error::Listen(peer, e))?;
@@ -185,13 +185,13 @@
         let taken = node.clone();
         let frame = Rc::new(move |from, bytes: Bytes| {
             taken.with("frame", |coordinator, now| {
-                let _ = coordinator.frame(now, from, &bytes);
+                let _ = coordinator.receive_frame(now, from, &bytes);
             });
         });
         let tells = Rc::downgrade(&node);
         node.peers.when_broke(Rc::new(move |at| {
             if let Some(node) = tells.upgrade() {
-                node.with("unreachable", |coordinator, now| coordinator.unreachable(now, at));
+                node.with("unreachable", |coordinator, now| coordinator.peer_unreachable(now, at));
             }
         }));
         if let Some(file) = settings.fault_file {
@@ -268,14 +268,14 @@
             return;
         }
         loop {
-            let effects = self.coordinator.borrow_mut().take();
+            let effects = self.coordinator.borrow_mut().take_effects();
             if effects.is_empty() {
                 break;
             }
             effects.into_iter().for_each(|effect| self.carry_out(effect));
         }
         self.pumping.set(false);
-        if self.coordinator.borrow().next() < self.rings.get() {
+        if self.coordinator.borrow().next_timeout() < self.rings.get() {
             self.sooner.notify_one();
         }
     }
@@ -288,7 +288,7 @@
                 let _ = self.socket.try_send_to(&self.envelope.seal(&bytes), to);
             }
             Effect::Frame { to, head, tail } => self.peers.send(to, head, tail),
-            Effect::Save { shard, ticket, records } => {
+            Effect::Append { shard, ticket, records } => {
                 if let Some(disk) = self.disk.borrow_mut().as_mut() {
                     disk.save(shard, ticket, records);
                 }
@@ -298,7 +298,7 @@
                     disk.compact(shard, ticket, records, implied);
                 }
             }
-            Effect::Renew { disk } => {
+            Effect::ReplaceDiskIdentity { disk } => {
                 if let Some(Err(error)) = self.disk.borrow_mut().as_mut().map(|d| d.renew(disk)) {
                     log::error("disk", &error.to_string());
                 }
@@ -317,9 +317,9 @@
                 }
             }
             Effect::Worker(worker) => self.gateway.worker(&worker),
-            Effect::Others(count) => self.gateway.others(count),
+            Effect::PeerCount(count) => self.gateway.others(count),
             Effect::Reports(reports) => self.gateway.reported(&reports),
-            Effect::Run { shard, next } => {
+            Effect::RunItem { shard, next } => {
                 spawn_local(self.clone().item(shard, next));
             }
             Effect::Log(what, text) => log::event(what, &text),
@@ -335,7 +335,7 @@
                     log::event("disk", &format!("part {shard}: {compaction:?}, {length} bytes, {took} ms"));
                 }
                 self.with("saved", |coordinator, now| {
-                    coordinator.saved(now, shard, done.ticket, done.length)
+                    coordinator.persisted(now, shard, done.ticket, done.length)
                 });
             }
             Report::Failing(error) => log::error("disk", &format!("part {shard} waits: {error}")),
@@ -350,7 +350,7 @@
         let (waits, answered) = oneshot::channel();
         self.answers.borrow_mut().insert(ticket, waits);
         self.with("call", |coordinator, now| coordinator.call(now, ticket, call));
-        answered.await.unwrap_or_else(|_| Answer::of(503))
+        answered.await.unwrap_or_else(|_| Answer::with_status(503))
     }
 
     async fn item(self: Rc<Self>, shard: u16, next: Next) {
@@ -384,7 +384,7 @@
                 (ran.events, end)
             }
         };
-        self.with("ran", |coordinator, now| coordinator.ran(now, shard, &job, &id, events, end));
+        self.with("ran", |coordinator, now| coordinator.item_finished(now, shard, &job, &id, events, end));
     }
 
     async fn datagrams(self: Rc<Self>) {
@@ -399,7 +399,9 @@
                     continue;
                 }
                 if let Ok(payload) = self.envelope.open(&buffer[..length]) {
-                    self.with("datagram", |coordinator, now| coordinator.datagram(now, from, payload));
+                    self.with("datagram", |coordinator, now| {
+                        coordinator.receive_datagram(now, from, payload)
+                    });
                 }
             }
             tokio::task::yield_now().await;
@@ -417,14 +419,14 @@
 
     async fn timer(self: Rc<Self>) {
         loop {
-            let next = self.coordinator.borrow().next();
+            let next = self.coordinator.borrow().next_timeout();
             self.rings.set(next);
             tokio::select! {
                 biased;
                 () = self.sooner.notified() => continue,
                 () = sleep_until(self.clock.instant(next)) => {}
             }
-            self.with("timer", |coordinator, now| coordinator.due(now));
+            self.with("timer", |coordinator, now| coordinator.handle_timeout(now));
             // Where the next time is now already, sockets come first.
             tokio::task::yield_now().await;
         }
@@ -446,9 +448,9 @@
 fn reply(answer: Answer) -> Reply {
     Reply {
         status: answer.status,
-        retry_after: answer.retry.map(|r| r as f64 / 1e6),
+        retry_after: answer.retry_after.map(|r| r as f64 / 1e6),
         body: answer.body,
-        json: answer.json,
+        json: answer.is_json,
     }
 }
 
