--- a/crates/coordinator/src/calls.rs
+++ b/crates/coordinator/src/calls.rs
@@ -211,7 +211,7 @@
     /// Calls a shard's leader: attempts follow one another until there is an answer or the call's time is over.
     pub(crate) fn call_shard(&mut self, mut call: CallRequest) {
         let nonce = self.calls.next_nonce();
-        let is_led_here = self.shards.get(&call.shard).is_some_and(|shard| shard.replica.leads());
+        let is_led_here = self.shards.get(&call.shard).is_some_and(|shard| shard.replica.is_serving_leader());
         if self.is_isolated(self.now) && !is_led_here {
             call.timeout = call.timeout.min(ISOLATED_TIMEOUT);
         }
--- a/crates/coordinator/src/calls/attempts.rs
+++ b/crates/coordinator/src/calls/attempts.rs
@@ -46,7 +46,7 @@
         }
         let Some(pending) = self.calls.pending.get(&nonce) else { return };
         let (shard, unresponsive) = (pending.call.shard, pending.unresponsive);
-        let is_led_here = self.shards.get(&shard).is_some_and(|led| led.replica.leads());
+        let is_led_here = self.shards.get(&shard).is_some_and(|led| led.replica.is_serving_leader());
         let own_leader = is_led_here.then_some(self.info.at);
         let members = self.attempt_candidates(shard, unresponsive);
         let hint = self.calls.leader_hint(shard).filter(|hint| Some(*hint) != unresponsive);
--- a/crates/coordinator/src/calls/client.rs
+++ b/crates/coordinator/src/calls/client.rs
@@ -64,7 +64,7 @@
 
     /// Sends a configuration to the leader of its shard, unless it is not valid.
     fn call_configure(&mut self, ticket: u64, base: u64, text: Bytes) {
-        if let Err(findings) = Configuration::read(&text) {
+        if let Err(findings) = Configuration::parse(&text) {
             let error = findings.to_string().replace('\\', "\\\\").replace('"', "\\\"");
             return self.answer(ticket, Answer::json(400, format!("{{\"error\":\"{error}\"}}")));
         }
--- a/crates/coordinator/src/calls/redirects.rs
+++ b/crates/coordinator/src/calls/redirects.rs
@@ -61,7 +61,10 @@
     fn send_not_leader(&mut self, shard: u16, origin: Origin, is_proposed: bool) {
         // One that is elected and may not serve yet does not name itself.
         let replica = self.shards.get(&shard).map(|shard| &shard.replica);
-        let leader = replica.filter(|r| r.leads() || !r.is_elected()).and_then(|r| r.leader()).map(|m| m.at);
+        let leader = replica
+            .filter(|r| r.is_serving_leader() || !r.is_leader())
+            .and_then(|r| r.leader())
+            .map(|m| m.address);
         match origin {
             Origin::Own(nonce) => self.handle_not_leader(nonce, self.info.at, leader, is_proposed),
             Origin::Remote { to, nonce } => {
--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -212,7 +212,7 @@
     pub(crate) fn own_member(&self) -> Option<Member> {
         let info = &self.info;
         let (name, zone) = (info.node.clone(), info.zone.clone());
-        Some(Member { id: info.disk?, name, zone, at: info.at })
+        Some(Member { id: info.disk?, name, zone, address: info.at })
     }
 
     /// Opens the replica of a shard, with the records that the disk holds of it.
@@ -246,8 +246,12 @@
     pub fn next_timeout(&self) -> Time {
         let shards = self.shards.values().map(Shard::next_timeout);
         let acknowledgements = self.pending_acknowledgements.iter().map(|held| held.until);
-        let own =
-            [self.calls.next_timeout(), self.peers.view.next(), self.gossip.next(), self.maintenance.next_at];
+        let own = [
+            self.calls.next_timeout(),
+            self.peers.view.next(),
+            self.gossip.next_timeout(),
+            self.maintenance.next_at,
+        ];
         shards.chain(acknowledgements).chain(own).min().unwrap_or(Time::MAX)
     }
 
@@ -265,8 +269,8 @@
             self.contact.catching_up_until = now.steady + COMPARING;
             self.gossip.catch_up(now.steady, &mut sink);
         }
-        if self.gossip.next() <= now.steady {
-            self.gossip.due(now.steady, &mut sink);
+        if self.gossip.next_timeout() <= now.steady {
+            self.gossip.handle_timeout(now.steady, &mut sink);
         }
         let (workers, texts) = (sink.workers, sink.texts);
         self.told_news(workers, texts);
@@ -283,8 +287,10 @@
         let now = self.now.steady;
         let numbers: Vec<u16> = self.shards.keys().copied().collect();
         for number in numbers {
-            if let Some(shard) = self.shards.get_mut(&number).filter(|shard| shard.replica.next() <= now) {
-                shard.replica.due(now);
+            if let Some(shard) =
+                self.shards.get_mut(&number).filter(|shard| shard.replica.next_timeout() <= now)
+            {
+                shard.replica.handle_timeout(now);
                 self.process_output(number);
             }
         }
@@ -293,7 +299,7 @@
     /// Handles the payload of a datagram that came from a peer.
     pub fn receive_datagram(&mut self, now: Now, from: SocketAddr, payload: &[u8]) {
         self.hear(now);
-        if report::carries_reports(payload) {
+        if report::is_report_datagram(payload) {
             return self.heard_reports(payload);
         }
         let mut sink = Sink::new(&mut self.effects);
@@ -312,7 +318,7 @@
         match head {
             Head::Gossip => {
                 let mut sink = Sink::new(&mut self.effects);
-                self.gossip.heard(now.steady, from, &tail, &mut sink);
+                self.gossip.receive(now.steady, from, &tail, &mut sink);
                 let (workers, texts) = (sink.workers, sink.texts);
                 self.told_news(workers, texts);
             }
@@ -356,7 +362,7 @@
         }
         let now = self.now.steady;
         if let Some(shard) = self.shards.get_mut(&number) {
-            if shard.replica.heard(now, message).is_err() {
+            if shard.replica.receive(now, message).is_err() {
                 self.effects.push(Effect::Log("garbage", format!("of part {number}'s group")));
             }
             self.process_output(number);
@@ -379,7 +385,7 @@
         self.now = now;
         if let Some(shard) = self.shards.get_mut(&number) {
             shard.disk.saved(ticket, length);
-            shard.replica.saved(now.steady, ticket);
+            shard.replica.persisted(now.steady, ticket);
             self.process_output(number);
         }
         self.settle();
@@ -445,9 +451,9 @@
             return ShardStatus { is_leader: false, leader, members: Vec::new() };
         };
         ShardStatus {
-            is_leader: shard.replica.leads(),
-            leader: shard.replica.leader().map(|m| m.at),
-            members: shard.replica.members().0.to_vec(),
+            is_leader: shard.replica.is_serving_leader(),
+            leader: shard.replica.leader().map(|m| m.address),
+            members: shard.replica.members().to_vec(),
         }
     }
 }
--- a/crates/coordinator/src/founding.rs
+++ b/crates/coordinator/src/founding.rs
@@ -15,7 +15,11 @@
     let mut seeds = seeds.to_vec();
     seeds.sort_unstable();
     seeds.dedup();
-    let founder =
-        |at: SocketAddr| Member { id: founding_id(at), name: String::new(), zone: String::new(), at };
+    let founder = |at: SocketAddr| Member {
+        id: founding_id(at),
+        name: String::new(),
+        zone: String::new(),
+        address: at,
+    };
     seeds.into_iter().map(founder).collect()
 }
--- a/crates/coordinator/src/maintenance.rs
+++ b/crates/coordinator/src/maintenance.rs
@@ -31,7 +31,7 @@
             self.fence_absent();
         }
         for number in 1..=BATCH_SHARDS {
-            if self.shards.get(&number).is_some_and(|p| p.replica.is_elected()) {
+            if self.shards.get(&number).is_some_and(|p| p.replica.is_leader()) {
                 self.seat_stores(number);
             }
         }
@@ -68,7 +68,7 @@
         }
         for mut worker in quiet {
             self.heartbeats.remove(&worker.id);
-            worker.phase = Phase::Silent;
+            worker.phase = Phase::Unresponsive;
             self.effects.push(Effect::Log("silent", worker.id.clone()));
             self.enter(worker);
         }
--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -51,7 +51,7 @@
         self.reports.members(&self.info.zone, self.info.at, zones);
         self.peers.registrars.borrow_mut().clear();
         let peers: Vec<SocketAddr> = self.peers.live.keys().copied().collect();
-        self.gossip.peers(now, &peers);
+        self.gossip.set_peers(now, &peers);
         if gateways != before || self.contact.caught_up_at.is_none() {
             self.effects.push(Effect::PeerCount(gateways));
         }
@@ -101,7 +101,7 @@
     /// the configuration's part then is a quorum by itself.
     pub(crate) fn is_isolated(&self, now: Now) -> bool {
         let silent = self.peers.has_gateways && now.steady - self.contact.last_received > CUT_OFF;
-        silent && !self.shards.get(&CONTROL).is_some_and(|shard| shard.replica.leads())
+        silent && !self.shards.get(&CONTROL).is_some_and(|shard| shard.replica.is_serving_leader())
     }
 
     /// Whether it may be given clients: it knows a configuration, has heard of others or is alone, and is not cut off: who lives
--- a/crates/coordinator/src/replica_settings.rs
+++ b/crates/coordinator/src/replica_settings.rs
@@ -12,13 +12,13 @@
 /// The settings of each replica of this process.
 pub(crate) fn replica_settings(info: &NodeInfo) -> Settings {
     Settings {
-        heartbeat: SECOND / 10,
-        election: 4 * SECOND / 10,
-        copies: info.tolerate + 1,
+        heartbeat_interval: SECOND / 10,
+        election_timeout: 4 * SECOND / 10,
+        min_replicas: info.tolerate + 1,
         // Of this are a few copies on the leader's link at once, one for each follower.
-        most_bytes: 128 << 10,
-        compact_bytes: (info.disk_bytes / LOGS_PER_DISK).clamp(4 << 20, 256 << 20),
+        max_message_bytes: 128 << 10,
+        compaction_threshold_bytes: (info.disk_bytes / LOGS_PER_DISK).clamp(4 << 20, 256 << 20),
         // A snapshot instead takes the room of a second copy at who lags.
-        lag_bytes: capacity::lag_bytes(info.disk_bytes),
+        max_lag_bytes: capacity::lag_bytes(info.disk_bytes),
     }
 }
--- a/crates/coordinator/src/serving.rs
+++ b/crates/coordinator/src/serving.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
 use rainlug_batch::Command;
-use rainlug_consensus::Refused;
+use rainlug_consensus::ProposeError;
 use rainlug_registry::Configuration;
 
 use crate::control::{Change, Store};
@@ -55,7 +55,7 @@
 
     /// A call that has come to this process as a part's leader.
     pub(crate) fn handle_request(&mut self, origin: Origin, number: u16, request: Request, tail: Bytes) {
-        if !self.shards.get(&number).is_some_and(|p| p.replica.leads()) {
+        if !self.shards.get(&number).is_some_and(|p| p.replica.is_serving_leader()) {
             return self.redirect(number, origin);
         }
         let name = |text: &Text| text.to_str().map(str::to_owned).unwrap_or_default();
@@ -132,7 +132,7 @@
                 self.process_output(number);
                 true
             }
-            Err(Refused::NotLeader(_) | Refused::Busy) => {
+            Err(ProposeError::NotLeader(_) | ProposeError::ChangeInProgress) => {
                 self.redirect(number, origin);
                 false
             }
@@ -150,12 +150,12 @@
         let Some(shard) = self.shards.get_mut(&number) else { return };
         shard.tickets += 1;
         shard.reads.insert(shard.tickets, (origin, query));
-        shard.replica.read(self.now.steady, shard.tickets);
+        shard.replica.read_index(self.now.steady, shard.tickets);
         self.process_output(number);
     }
 
     pub(crate) fn configure(&mut self, origin: Origin, base: u64, text: Bytes) {
-        let Ok(read) = Configuration::read(&text) else {
+        let Ok(read) = Configuration::parse(&text) else {
             return self.reply(origin, Answer::with_status(400));
         };
         let Some(control) = self.shards.get(&CONTROL).and_then(|p| p.control()) else { return };
@@ -180,7 +180,7 @@
         let stays = |other: &&Store| other.member.name != store && !other.is_retiring();
         let (listed, living) =
             control.stores.values().filter(stays).fold((0, 0), |(listed, living), other| {
-                (listed + 1, living + usize::from(self.peers.live.contains_key(&other.member.at)))
+                (listed + 1, living + usize::from(self.peers.live.contains_key(&other.member.address)))
             });
         // As many as a group must have for the loss of what is to be borne.
         let least = self.info.fewest_members();
--- a/crates/coordinator/src/shard.rs
+++ b/crates/coordinator/src/shard.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use rainlug::Time;
 use rainlug_batch::{QuotaLedger, Register, Schedule};
-use rainlug_consensus::{Index, Member, Output, Replica, Restore, Rewrite, Settings};
+use rainlug_consensus::{Index, Member, Ready, Replica, RestoreStep, Rewrite, Settings};
 use rainlug_registry::gossip;
 
 use crate::capacity::{LogUse, ShardDisk};
@@ -104,14 +104,14 @@
     }
 
     /// A step of replacing the state machine's whole state.
-    fn restore(&mut self, step: Restore) -> Result<(), RestoreError> {
+    fn restore(&mut self, step: RestoreStep) -> Result<(), RestoreError> {
         match step {
-            Restore::Begin => self.restoring = Some(self.state_machine.restore_begin()),
-            Restore::Abandon => self.restoring = None,
-            Restore::Chunk(chunk) => {
+            RestoreStep::Begin => self.restoring = Some(self.state_machine.restore_begin()),
+            RestoreStep::Abandon => self.restoring = None,
+            RestoreStep::Chunk(chunk) => {
                 self.restoring.as_mut().ok_or(RestoreError::NotBegun)?.take(&chunk)?;
             }
-            Restore::Finish(_) => {
+            RestoreStep::Finish(_) => {
                 let restoring = self.restoring.take().ok_or(RestoreError::NotBegun)?;
                 let (machine, quota_ledger) = restoring.finish()?;
                 self.state_machine = machine;
@@ -124,7 +124,7 @@
     /// When the replica, a waiting read, the next item or a usage report is due (steady clock).
     pub fn next_timeout(&self) -> Time {
         let report = self.reports.as_ref().map_or(Time::MAX, |reports| reports.next());
-        self.replica.next().min(self.next_poll()).min(report)
+        self.replica.next_timeout().min(self.next_poll()).min(report)
     }
 
     pub fn next_poll(&self) -> Time {
@@ -161,14 +161,14 @@
     }
 
     pub fn metrics(&self) -> Vec<(String, f64)> {
-        if self.replica.is_vacant() {
+        if self.replica.is_tombstone() {
             return Vec::new();
         }
         let name = |what: &str| format!("part_{}_{what}", self.number);
         let mut metrics = vec![
             (name("leads"), f64::from(u8::from(self.is_leader))),
             (name("term"), self.replica.term() as f64),
-            (name("members"), self.replica.members().0.len() as f64),
+            (name("members"), self.replica.members().len() as f64),
         ];
         if let Some(register) = self.register() {
             metrics.push((name("bytes"), register.size() as f64));
@@ -192,15 +192,15 @@
     pub(crate) fn process_output(&mut self, number: u16) {
         for _ in 0..MOST_TAKES {
             let Some(shard) = self.shards.get_mut(&number) else { return };
-            let output = shard.replica.take();
+            let output = shard.replica.take_ready();
             let quiet = output.messages.is_empty()
-                && output.save.is_empty()
+                && output.records.is_empty()
                 && output.rewrite.is_none()
                 && output.restore.is_empty()
                 && output.committed.is_empty()
                 && output.reads.is_empty()
-                && !output.changed
-                && !output.compact;
+                && !output.has_status_changed
+                && !output.needs_compaction;
             if quiet && !std::mem::take(&mut shard.is_snapshot_wanted) {
                 break;
             }
@@ -208,23 +208,23 @@
                 // Nothing is on its way to the disk but what it was handed: the rewrite may be put off and nothing is missing.
                 let state = shard.state_machine.snapshot_source(&shard.quota_ledger);
                 let size = state.size();
-                shard.replica.snapshot(self.now.steady, state);
+                shard.replica.compact(self.now.steady, state);
                 self.effects.push(Effect::Log("snapshot", format!("part {number}: {size} bytes")));
                 continue;
             }
             self.apply_output(number, output);
-            if self.shards.get(&number).is_none_or(|shard| shard.replica.has_backlog()) {
+            if self.shards.get(&number).is_none_or(|shard| shard.replica.has_unapplied_entries()) {
                 break;
             }
         }
         self.update_leadership(number);
     }
 
-    fn apply_output(&mut self, number: u16, output: Output) {
+    fn apply_output(&mut self, number: u16, output: Ready) {
         self.check_step(&output);
         for (to, bytes) in output.messages {
             self.effects.push(Effect::Frame {
-                to: to.at,
+                to: to.address,
                 head: join(&Head::Consensus { shard: number }, &[]),
                 tail: bytes,
             });
@@ -234,10 +234,10 @@
             self.record_write(number, ticket);
             self.effects.push(Effect::Rewrite { shard: number, ticket, records, implied });
         }
-        if let Some((ticket, _)) = output.save.last() {
+        if let Some((ticket, _)) = output.records.last() {
             let ticket = *ticket;
             self.record_write(number, ticket);
-            let records = output.save.into_iter().map(|(_, record)| record).collect();
+            let records = output.records.into_iter().map(|(_, record)| record).collect();
             self.effects.push(Effect::Append { shard: number, ticket, records });
         }
         for step in output.restore {
@@ -259,16 +259,16 @@
                 Err(_) => self.redirect(number, origin),
             }
         }
-        if output.compact
+        if output.needs_compaction
             && let Some(shard) = self.shards.get_mut(&number)
         {
-            if output.is_state_wanted || shard.log_use().pays() {
+            if output.needs_snapshot || shard.log_use().pays() {
                 shard.is_snapshot_wanted = true;
             } else {
-                shard.replica.postpone_snapshot();
+                shard.replica.postpone_compaction();
             }
         }
-        if output.changed && number == CONTROL {
+        if output.has_status_changed && number == CONTROL {
             self.publish_control_state();
         }
     }
@@ -280,9 +280,9 @@
         }
     }
 
-    fn restore(&mut self, number: u16, step: Restore) {
+    fn restore(&mut self, number: u16, step: RestoreStep) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        if let Restore::Finish(index) = step {
+        if let RestoreStep::Finish(index) = step {
             self.effects.push(Effect::Log("restore", format!("part {number}: as of entry {index}")));
         }
         if let Err(error) = shard.restore(step) {
@@ -320,7 +320,7 @@
     /// What follows from who leads.
     fn update_leadership(&mut self, number: u16) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        let leads = shard.replica.leads();
+        let leads = shard.replica.is_serving_leader();
         if leads == shard.is_leader {
             return;
         }
@@ -356,20 +356,21 @@
 
     /// The leader of the configuration's part enters what is agreed on in the gossip.
     pub(crate) fn publish_control_state(&mut self) {
-        let Some(shard) = self.shards.get(&CONTROL).filter(|p| p.replica.leads()) else { return };
+        let Some(shard) = self.shards.get(&CONTROL).filter(|p| p.replica.is_serving_leader()) else { return };
         let Some(control) = shard.control() else { return };
         let (version, text) = (control.version, control.text.clone());
-        let (core, settled) = shard.replica.members();
+        let (core, settled) = (shard.replica.members(), shard.replica.is_replica_set_committed());
         let topology = settled.then(|| control.topology(core));
         let term = shard.replica.term();
-        if version > 0 && self.gossip.get(gossip::CONFIGURATION).is_none_or(|(known, _)| known < version) {
+        if version > 0 && self.gossip.document(gossip::CONFIGURATION).is_none_or(|(known, _)| known < version)
+        {
             self.enter_text(gossip::CONFIGURATION, version, text);
         }
         // A leader of a later term has told of a newer one.
         let superseded = self.topology_version >= (term + 1) << ROSTERS_OF_A_TERM;
         if let Some(topology) = topology.filter(|r| *r != self.topology && !superseded) {
             let version = (term << ROSTERS_OF_A_TERM).max(self.topology_version) + 1;
-            self.enter_text(gossip::GROUPS, version, topology.encode());
+            self.enter_text(gossip::TOPOLOGY, version, topology.encode());
         }
     }
 }
--- a/crates/coordinator/tests/stories.rs
+++ b/crates/coordinator/tests/stories.rs
@@ -33,7 +33,7 @@
         let leader = fleet.leader(shard).expect("a leader");
         let members = fleet.machines[leader].coordinator.as_ref().unwrap().shard_status(shard).members;
         let zones: std::collections::BTreeSet<&str> =
-            members.iter().map(|m| m.at.to_string().leak() as &str).collect();
+            members.iter().map(|m| m.address.to_string().leak() as &str).collect();
         assert_eq!((members.len(), zones.len()), (3, 3), "part {shard}");
     }
 }
@@ -126,7 +126,7 @@
     }
     // Beats go to whom the answer names; here they all came to another one, who heard only some.
     fleet.pass(8.0);
-    assert!(fleet.machines.iter().all(|m| m.workers["w1"].phase == Phase::Silent));
+    assert!(fleet.machines.iter().all(|m| m.workers["w1"].phase == Phase::Unresponsive));
     fleet.ask(4, heartbeat("w1", "notary", "ready", 9), 2.0);
     fleet.pass(1.0);
     assert!(fleet.machines.iter().all(|m| m.workers["w1"].phase == Phase::Ready));
@@ -216,7 +216,7 @@
     fleet.pass(10.0);
     let leader = fleet.leader(CONTROL).expect("a leader");
     let members = fleet.machines[leader].coordinator.as_ref().unwrap().shard_status(CONTROL).members;
-    let places: Vec<_> = members.iter().map(|m| m.at).collect();
+    let places: Vec<_> = members.iter().map(|m| m.address).collect();
     assert!(members.len() == 3 && places.contains(&common::address(new)), "{places:?}");
     // Now another one may be lost.
     fleet.kill(0, true);
