--- a/crates/coordinator/src/calls/attempts.rs
+++ b/crates/coordinator/src/calls/attempts.rs
@@ -47,7 +47,7 @@
         let Some(pending) = self.calls.pending.get(&nonce) else { return };
         let (shard, unresponsive) = (pending.call.shard, pending.unresponsive);
         let is_led_here = self.shards.get(&shard).is_some_and(|led| led.replica.is_serving_leader());
-        let own_leader = is_led_here.then_some(self.info.at);
+        let own_leader = is_led_here.then_some(self.info.peer_address);
         let members = self.attempt_candidates(shard, unresponsive);
         let hint = self.calls.leader_hint(shard).filter(|hint| Some(*hint) != unresponsive);
 
@@ -70,7 +70,7 @@
             (ATTEMPT_TIMEOUT + call.leader_wait, call.request.clone(), call.tail.clone())
         };
         pending.next_attempt_at = now + timeout;
-        if target == self.info.at {
+        if target == self.info.peer_address {
             if let Ok((request, _)) = split(&request) {
                 self.handle_request(Origin::Own(nonce), shard, request, tail);
             }
@@ -85,7 +85,7 @@
     fn attempt_candidates(&self, shard: u16, unresponsive: Option<SocketAddr>) -> Vec<SocketAddr> {
         let all = self.member_addresses(shard);
         let is_reachable = |at: &SocketAddr| {
-            *at == self.info.at || self.peers.live.contains_key(at) && Some(*at) != unresponsive
+            *at == self.info.peer_address || self.peers.live.contains_key(at) && Some(*at) != unresponsive
         };
         let reachable: Vec<SocketAddr> = all.iter().copied().filter(is_reachable).collect();
         if reachable.is_empty() { all } else { reachable }
@@ -94,9 +94,9 @@
     /// Where a shard's members hear their peers, as far as this process knows.
     fn member_addresses(&self, shard: u16) -> Vec<SocketAddr> {
         let members = if shard == CONTROL {
-            self.topology.core.as_slice()
+            self.topology.configuration_members.as_slice()
         } else {
-            self.topology.group(shard).map_or(&[][..], |group| &group.members)
+            self.topology.replica_set(shard).map_or(&[][..], |group| &group.members)
         };
         if members.is_empty() && shard == CONTROL {
             return self.info.seeds.clone();
--- a/crates/coordinator/src/calls/client.rs
+++ b/crates/coordinator/src/calls/client.rs
@@ -59,7 +59,7 @@
                 self.call_batch_shard(ticket, &job, &request, 0);
             }
         }
-        self.settle();
+        self.run_deferred_work();
     }
 
     /// Sends a configuration to the leader of its shard, unless it is not valid.
--- a/crates/coordinator/src/calls/redirects.rs
+++ b/crates/coordinator/src/calls/redirects.rs
@@ -66,7 +66,7 @@
             .and_then(|r| r.leader())
             .map(|m| m.address);
         match origin {
-            Origin::Own(nonce) => self.handle_not_leader(nonce, self.info.at, leader, is_proposed),
+            Origin::Own(nonce) => self.handle_not_leader(nonce, self.info.peer_address, leader, is_proposed),
             Origin::Remote { to, nonce } => {
                 let leader = leader.map_or(PeerAddress::NONE, PeerAddress::from);
                 let head = Head::NotLeader { nonce, proposed: u8::from(is_proposed), leader };
--- a/crates/coordinator/src/calls/relays.rs
+++ b/crates/coordinator/src/calls/relays.rs
@@ -33,10 +33,11 @@
 impl Coordinator {
     /// A random gateway that is not a member of the configuration's shard: those members may be cut off together.
     fn choose_relay(&mut self, shard: u16) -> Option<SocketAddr> {
-        let core: Vec<SocketAddr> = self.topology.core.iter().map(|member| member.at.into()).collect();
+        let core: Vec<SocketAddr> =
+            self.topology.configuration_members.iter().map(|member| member.at.into()).collect();
         let gateways = self.peers.live.iter().filter(|(at, peer)| peer.is_gateway && !core.contains(at));
         let gateways: Vec<SocketAddr> = gateways.map(|(at, _)| *at).collect();
-        gateways.choose(&mut self.rng).copied().filter(|_| shard != CONTROL && self.info.relays)
+        gateways.choose(&mut self.rng).copied().filter(|_| shard != CONTROL && self.info.relays_enabled)
     }
 
     /// Makes the next attempt by way of another process, if nobody answered the last one and there is such a process; whether it did.
--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -14,10 +14,10 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::calls::Calls;
-use crate::dissemination::{Held, Sink};
+use crate::dissemination::{Outbox, PendingAcknowledgement};
 use crate::founding::{founding_id, founding_members};
 use crate::frame::{DecodeError, Head, Request, split};
-use crate::membership::COMPARING;
+use crate::membership::{COMPARING_PERIOD, LivePeer};
 use crate::quota::ReservationAnswer;
 use crate::replica_settings::replica_settings;
 use crate::shard::Shard;
@@ -38,15 +38,6 @@
 /// A timeout that is handled so much too late means that this process stood still.
 const MAX_TIMEOUT_DELAY: Time = SECOND;
 
-/// A live process other than this one, by what its membership card says.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct LivePeer {
-    /// It takes clients' requests; otherwise it is a store.
-    pub is_gateway: bool,
-    /// Where it serves workers, if it does.
-    pub control: Option<SocketAddr>,
-}
-
 /// The other processes, as the membership protocol sees them.
 pub(crate) struct Peers {
     pub view: View,
@@ -68,7 +59,7 @@
     /// Anything came from a peer.
     pub last_received: Time,
     /// Until then it compares what it missed with other processes, and takes no clients.
-    pub catching_up_until: Time,
+    pub comparing_until: Time,
     /// It last began to catch up on meeting others: after its start, a partition or a standstill.
     pub caught_up_at: Option<Time>,
 }
@@ -103,23 +94,23 @@
     /// Answers of quota ledgers that are not acted on yet.
     pub(crate) reservation_answers: VecDeque<ReservationAnswer>,
     /// Acknowledgements that wait until their update has spread.
-    pub(crate) pending_acknowledgements: Vec<Held>,
+    pub(crate) pending_acknowledgements: Vec<PendingAcknowledgement>,
     /// When (steady clock) each worker whose heartbeats are due here was last heard.
     pub(crate) heartbeats: BTreeMap<String, Time>,
     /// Disks of gateways that want to be members of the configuration's shard, and when each asked last.
-    pub(crate) joiners: BTreeMap<MemberId, (Member, Time)>,
+    pub(crate) join_candidates: BTreeMap<MemberId, (Member, Time)>,
     pub(crate) admission: admission::Admission,
     pub(crate) reports: reports::ReportExchange,
     pub(crate) diagnostics: diagnostics::Diagnostics,
-    pub(crate) violations: invariants::Violations,
+    pub(crate) violations: invariants::ViolationCounts,
     /// What the process has to do, in this order.
     pub(crate) effects: Vec<Effect>,
 }
 
 /// The application bytes of a process's membership card: its role, and the port where it serves workers (big-endian; 0: none).
 fn member_payload(info: &NodeInfo) -> Vec<u8> {
-    let mut payload = vec![u8::from(info.gateway)];
-    payload.extend(info.control.map_or(0, |c| c.port()).to_be_bytes());
+    let mut payload = vec![u8::from(info.role.is_gateway())];
+    payload.extend(info.control_address.map_or(0, |c| c.port()).to_be_bytes());
     payload
 }
 
@@ -136,9 +127,9 @@
         let mut rng = ChaCha8Rng::seed_from_u64(info.seed);
         let card = Card {
             id: rng.random::<u64>().max(1),
-            name: info.node.clone(),
+            name: info.node_name.clone(),
             zone: info.zone.clone(),
-            at: info.at,
+            at: info.peer_address,
             start: now.wall,
             edition: 0,
             figures: member_payload(&info),
@@ -160,7 +151,7 @@
             contact: Contact {
                 started_at: now.steady,
                 last_received: now.steady,
-                catching_up_until: now.steady,
+                comparing_until: now.steady,
                 caught_up_at: None,
             },
             maintenance: MaintenanceTimes {
@@ -177,18 +168,18 @@
             reservation_answers: VecDeque::new(),
             pending_acknowledgements: Vec::new(),
             heartbeats: BTreeMap::new(),
-            joiners: BTreeMap::new(),
+            join_candidates: BTreeMap::new(),
             admission: admission::Admission::default(),
             reports: reports::ReportExchange::default(),
             diagnostics: diagnostics::Diagnostics::default(),
-            violations: invariants::Violations::default(),
+            violations: invariants::ViolationCounts::default(),
             effects: Vec::new(),
             rng,
             info,
             now,
         };
         coordinator.open_shards(logs)?;
-        coordinator.settle();
+        coordinator.run_deferred_work();
         Ok(coordinator)
     }
 
@@ -199,9 +190,9 @@
             let founding = if number == CONTROL { founding.clone() } else { Vec::new() };
             self.open_shard(number, founding, &records)?;
         }
-        let is_founder = self.info.gateway
-            && self.info.disk == Some(founding_id(self.info.at))
-            && self.info.seeds.contains(&self.info.at);
+        let is_founder = self.info.role.is_gateway()
+            && self.info.disk == Some(founding_id(self.info.peer_address))
+            && self.info.seeds.contains(&self.info.peer_address);
         if is_founder && !self.shards.contains_key(&CONTROL) {
             self.open_shard(CONTROL, founding, &[])?;
         }
@@ -211,8 +202,8 @@
     /// This process as a member of a replica set; none where it has no disk.
     pub(crate) fn own_member(&self) -> Option<Member> {
         let info = &self.info;
-        let (name, zone) = (info.node.clone(), info.zone.clone());
-        Some(Member { id: info.disk?, name, zone, address: info.at })
+        let (name, zone) = (info.node_name.clone(), info.zone.clone());
+        Some(Member { id: info.disk?, name, zone, address: info.peer_address })
     }
 
     /// Opens the replica of a shard, with the records that the disk holds of it.
@@ -261,26 +252,26 @@
         self.now = now;
         // Replicas first: a leader that stood still must know that it may not be one any more.
         self.handle_replica_timeouts();
-        let mut sink = Sink::new(&mut self.effects);
+        let mut outbox = Outbox::new(&mut self.effects);
         if self.peers.view.next() <= now.steady {
-            self.peers.view.due(now.steady, &mut sink);
+            self.peers.view.due(now.steady, &mut outbox);
         }
         if delay > MAX_TIMEOUT_DELAY {
-            self.contact.catching_up_until = now.steady + COMPARING;
-            self.gossip.catch_up(now.steady, &mut sink);
+            self.contact.comparing_until = now.steady + COMPARING_PERIOD;
+            self.gossip.catch_up(now.steady, &mut outbox);
         }
         if self.gossip.next_timeout() <= now.steady {
-            self.gossip.handle_timeout(now.steady, &mut sink);
+            self.gossip.handle_timeout(now.steady, &mut outbox);
         }
-        let (workers, texts) = (sink.workers, sink.texts);
-        self.told_news(workers, texts);
+        let updates = outbox.into_updates();
+        self.apply_updates(updates);
         if self.maintenance.next_at <= now.steady {
             self.maintenance.next_at = now.steady + MAINTENANCE_INTERVAL;
             self.run_maintenance();
             self.rewrite_where_due();
         }
         self.retry_due_calls();
-        self.settle();
+        self.run_deferred_work();
     }
 
     fn handle_replica_timeouts(&mut self) {
@@ -298,14 +289,14 @@
 
     /// Handles the payload of a datagram that came from a peer.
     pub fn receive_datagram(&mut self, now: Now, from: SocketAddr, payload: &[u8]) {
-        self.hear(now);
+        self.record_contact(now);
         if report::is_report_datagram(payload) {
-            return self.heard_reports(payload);
+            return self.receive_reports(payload);
         }
-        let mut sink = Sink::new(&mut self.effects);
+        let mut outbox = Outbox::new(&mut self.effects);
         // What is malformed is dropped: datagrams may come from anywhere.
-        let _ = self.peers.view.heard(now.steady, from, payload, &mut sink);
-        self.settle();
+        let _ = self.peers.view.heard(now.steady, from, payload, &mut outbox);
+        self.run_deferred_work();
     }
 
     /// Handles a frame that came over a connection of the peer that hears its peers at `from`.
@@ -314,13 +305,13 @@
     /// Where it is not a frame of this tier. It then had no effect, but that the peer counts as heard if the frame's head is valid.
     pub fn receive_frame(&mut self, now: Now, from: SocketAddr, bytes: &Bytes) -> Result<(), DecodeError> {
         let (head, tail): (Head, Bytes) = split(bytes)?;
-        self.hear(now);
+        self.record_contact(now);
         match head {
             Head::Gossip => {
-                let mut sink = Sink::new(&mut self.effects);
-                self.gossip.receive(now.steady, from, &tail, &mut sink);
-                let (workers, texts) = (sink.workers, sink.texts);
-                self.told_news(workers, texts);
+                let mut outbox = Outbox::new(&mut self.effects);
+                self.gossip.receive(now.steady, from, &tail, &mut outbox);
+                let updates = outbox.into_updates();
+                self.apply_updates(updates);
             }
             Head::Consensus { shard } => self.receive_consensus(shard, &tail),
             Head::Call { nonce, shard } => {
@@ -342,13 +333,13 @@
                 self.handle_not_leader(nonce, from, leader, proposed != 0);
             }
         }
-        self.settle();
+        self.run_deferred_work();
         Ok(())
     }
 
     /// A message between the replicas of a shard.
     fn receive_consensus(&mut self, number: u16, message: &Bytes) {
-        let is_kept_here = self.info.gateway == (number == CONTROL) && number <= BATCH_SHARDS;
+        let is_kept_here = self.info.role.is_gateway() == (number == CONTROL) && number <= BATCH_SHARDS;
         if self.info.disk.is_none() || !is_kept_here {
             return;
         }
@@ -375,9 +366,9 @@
         if number == CONTROL {
             return Some(Vec::new());
         }
-        let group = self.topology.group(number)?;
+        let group = self.topology.replica_set(number)?;
         let is_founding_member = group.founding.iter().any(|member| Some(member.id) == self.info.disk);
-        if is_founding_member { topology::members(&group.founding).ok() } else { Some(Vec::new()) }
+        if is_founding_member { topology::decode_members(&group.founding).ok() } else { Some(Vec::new()) }
     }
 
     /// All records of a shard up to `ticket` are synced to the disk, in a file of `length` bytes.
@@ -388,7 +379,7 @@
             shard.replica.persisted(now.steady, ticket);
             self.process_output(number);
         }
-        self.settle();
+        self.run_deferred_work();
     }
 
     /// The run of an item has ended, with the events (id, data) that came.
@@ -403,21 +394,21 @@
     ) {
         self.now = now;
         self.finish_item(shard, job, item, events, end);
-        self.settle();
+        self.run_deferred_work();
     }
 
     /// The process is about to end: it tells the others, so that none of them has to find out.
     pub fn leave(&mut self, now: Now) {
         self.now = now;
-        let mut sink = Sink::new(&mut self.effects);
-        self.peers.view.leave(&mut sink);
+        let mut outbox = Outbox::new(&mut self.effects);
+        self.peers.view.leave(&mut outbox);
     }
 
     /// A connection to a peer broke or did not come up: calls that wait for that peer are attempted elsewhere soon.
     pub fn peer_unreachable(&mut self, now: Now, peer: SocketAddr) {
         self.now = now;
         self.retry_unreachable(peer);
-        self.settle();
+        self.run_deferred_work();
     }
 
     /// The configuration in force at this process.
@@ -437,10 +428,10 @@
         for shard in self.shards.values() {
             metrics.extend(shard.metrics());
         }
-        if !self.info.gateway {
-            metrics.extend(self.room_figures());
+        if !self.info.role.is_gateway() {
+            metrics.extend(self.capacity_metrics());
         }
-        metrics.extend(self.invariant_figures());
+        metrics.extend(self.invariant_metrics());
         metrics
     }
 
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -40,9 +40,9 @@
 pub use api::{Answer, Call, Effect, Now, ShardStatus};
 pub use coordinator::Coordinator;
 pub use founding::founding_id;
-pub use info::{NodeInfo, RETENTION_SLACK};
+pub use info::{NodeInfo, ProcessRole, RETENTION_SLACK};
 pub use sharding::{BATCH_SHARDS, CONTROL, shard_of_job, shard_of_route};
 
-pub(crate) use coordinator::{LivePeer, MAX_SPREAD_WAIT};
+pub(crate) use coordinator::MAX_SPREAD_WAIT;
 pub(crate) use replica_settings::LOGS_PER_DISK;
 pub(crate) use serving::Origin;
--- a/crates/coordinator/src/maintenance.rs
+++ b/crates/coordinator/src/maintenance.rs
@@ -17,7 +17,7 @@
 
 impl Coordinator {
     pub(crate) fn run_maintenance(&mut self) {
-        self.silent();
+        self.mark_unresponsive_workers();
         self.diagnose();
         self.check_memory();
         if self.maintenance.announce_at <= self.now.steady {
@@ -26,23 +26,24 @@
         }
         if self.shards.get(&CONTROL).is_some_and(|p| p.is_leader) {
             self.publish_control_state();
-            self.seat_core();
+            self.place_configuration_members();
             self.create_shards();
-            self.fence_absent();
+            self.fence_absent_disks();
         }
         for number in 1..=BATCH_SHARDS {
             if self.shards.get(&number).is_some_and(|p| p.replica.is_leader()) {
-                self.seat_stores(number);
+                self.place_store_members(number);
             }
         }
-        self.vacate_lost_seats();
+        self.tombstone_lost_memberships();
         self.track_routes();
     }
 
     /// Workers whose beats are this process's duty, and do not come.
-    fn silent(&mut self) {
-        let (now, patience) = (self.now.steady, (self.info.heartbeat as f64 * MAX_MISSED_HEARTBEATS) as Time);
-        if !self.info.gateway {
+    fn mark_unresponsive_workers(&mut self) {
+        let (now, patience) =
+            (self.now.steady, (self.info.heartbeat_interval as f64 * MAX_MISSED_HEARTBEATS) as Time);
+        if !self.info.role.is_gateway() {
             return;
         }
         if self.is_isolated(self.now) {
@@ -53,7 +54,7 @@
         let mut quiet = Vec::new();
         let mut mine = BTreeSet::new();
         for worker in self.gossip.workers().filter(|w| w.phase == Phase::Ready) {
-            if self.registrar(&worker.service) != Some(self.info.at) {
+            if self.registrar(&worker.service) != Some(self.info.peer_address) {
                 continue;
             }
             mine.insert(worker.id.clone());
@@ -70,7 +71,7 @@
             self.heartbeats.remove(&worker.id);
             worker.phase = Phase::Unresponsive;
             self.effects.push(Effect::Log("silent", worker.id.clone()));
-            self.enter(worker);
+            self.publish_worker(worker);
         }
     }
 
@@ -78,12 +79,12 @@
     fn announce(&mut self) {
         let Some(me) = self.own_member() else { return };
         let member = MemberRecord::from(&me);
-        if self.info.gateway {
-            if !self.topology.core.iter().any(|s| s.id == me.id) {
+        if self.info.role.is_gateway() {
+            if !self.topology.configuration_members.iter().any(|s| s.id == me.id) {
                 let request = Request::Join { member };
                 self.call_shard(CallRequest::internal(CONTROL, &request, ANNOUNCE));
             }
-        } else if !self.topology.stores.iter().any(|s| s.seat == member) {
+        } else if !self.topology.stores.iter().any(|s| s.member == member) {
             let request = Request::RegisterStore { member };
             self.call_shard(CallRequest::internal(CONTROL, &request, ANNOUNCE));
         }
--- a/crates/coordinator/src/replica_settings.rs
+++ b/crates/coordinator/src/replica_settings.rs
@@ -14,7 +14,7 @@
     Settings {
         heartbeat_interval: SECOND / 10,
         election_timeout: 4 * SECOND / 10,
-        min_replicas: info.tolerate + 1,
+        min_replicas: info.tolerated_failures + 1,
         // Of this are a few copies on the leader's link at once, one for each follower.
         max_message_bytes: 128 << 10,
         compaction_threshold_bytes: (info.disk_bytes / LOGS_PER_DISK).clamp(4 << 20, 256 << 20),
--- a/crates/coordinator/src/serving.rs
+++ b/crates/coordinator/src/serving.rs
@@ -71,7 +71,7 @@
             }
             (CONTROL, Request::Join { member }) => {
                 if let Ok(member) = member.to_member() {
-                    self.joiners.insert(member.id, (member, self.now.steady));
+                    self.join_candidates.insert(member.id, (member, self.now.steady));
                 }
                 self.reply(origin, Answer::with_status(200));
             }
@@ -183,7 +183,7 @@
                 (listed + 1, living + usize::from(self.peers.live.contains_key(&other.member.address)))
             });
         // As many as a group must have for the loss of what is to be borne.
-        let least = self.info.fewest_members();
+        let least = self.info.min_members();
         if listed < least {
             return self.reply(origin, Answer::with_status(409));
         }
--- a/crates/coordinator/src/shard.rs
+++ b/crates/coordinator/src/shard.rs
@@ -8,9 +8,9 @@
 use rainlug_consensus::{Index, Member, Ready, Replica, RestoreStep, Rewrite, Settings};
 use rainlug_registry::gossip;
 
-use crate::capacity::{LogUse, ShardDisk};
+use crate::capacity::{LogUsage, ShardDisk};
 use crate::control::{Control, Outcome};
-use crate::dissemination::{Held, News};
+use crate::dissemination::{AwaitedUpdate, PendingAcknowledgement};
 use crate::frame::{Head, join};
 use crate::invariants::Invariant;
 use crate::quota::{Submission, UsageReports};
@@ -62,7 +62,7 @@
     pub next_item_at: Time,
     pub last_sweep: Time,
     /// Since when it may be given up: nobody leads it, and its group is told to be without this disk.
-    pub nonmember_since: Option<Time>,
+    pub lost_membership_since: Option<Time>,
     pub disk: ShardDisk,
     /// A snapshot of the machine is asked for.
     pub is_snapshot_wanted: bool,
@@ -96,7 +96,7 @@
             schedule: None,
             next_item_at: 0,
             last_sweep: now,
-            nonmember_since: None,
+            lost_membership_since: None,
             disk: ShardDisk::of(records),
             is_snapshot_wanted: false,
             submissions: BTreeMap::new(),
@@ -148,14 +148,14 @@
     }
 
     /// Its log's part of the disk.
-    pub fn log_use(&self) -> LogUse {
+    pub fn log_use(&self) -> LogUsage {
         let length = self.disk.length;
         match &self.state_machine {
             StateMachine::BatchJobs(register) => {
-                LogUse { length, rewritten: register.size() as u64, totals: register.totals() }
+                LogUsage { length, rewritten: register.size() as u64, totals: register.totals() }
             }
             StateMachine::Control(control) => {
-                LogUse { length, rewritten: control.size() as u64, ..LogUse::default() }
+                LogUsage { length, rewritten: control.size() as u64, ..LogUsage::default() }
             }
         }
     }
@@ -287,7 +287,7 @@
         }
         if let Err(error) = shard.restore(step) {
             self.violated(Invariant::StateRestored, &format_args!("part {number}: {error}"));
-            self.give_up_disk(number);
+            self.discard_disk(number);
         }
     }
 
@@ -310,8 +310,8 @@
                     Ok(Outcome::Unknown) => Answer::with_status(404),
                     Err(_) => Answer::with_status(500),
                 };
-                let (until, news) = (now + MAX_SPREAD_WAIT, News::Configuration(version));
-                self.pending_acknowledgements.push(Held { origin, answer, until, news });
+                let (until, update) = (now + MAX_SPREAD_WAIT, AwaitedUpdate::Configuration(version));
+                self.pending_acknowledgements.push(PendingAcknowledgement { origin, answer, until, update });
             }
             StateMachine::BatchJobs(_) => self.apply_batch_command(number, command, mine),
         }
@@ -364,13 +364,13 @@
         let term = shard.replica.term();
         if version > 0 && self.gossip.document(gossip::CONFIGURATION).is_none_or(|(known, _)| known < version)
         {
-            self.enter_text(gossip::CONFIGURATION, version, text);
+            self.publish_document(gossip::CONFIGURATION, version, text);
         }
         // A leader of a later term has told of a newer one.
         let superseded = self.topology_version >= (term + 1) << ROSTERS_OF_A_TERM;
         if let Some(topology) = topology.filter(|r| *r != self.topology && !superseded) {
             let version = (term << ROSTERS_OF_A_TERM).max(self.topology_version) + 1;
-            self.enter_text(gossip::TOPOLOGY, version, topology.encode());
+            self.publish_document(gossip::TOPOLOGY, version, topology.encode());
         }
     }
 }
--- a/crates/coordinator/tests/format.rs
+++ b/crates/coordinator/tests/format.rs
@@ -11,7 +11,7 @@
 use rainlug_consensus::Member;
 use rainlug_coordinator::control::{Change, Control, Outcome};
 use rainlug_coordinator::frame::{Head, MemberRecord, PeerAddress, Request, join, split};
-use rainlug_coordinator::topology::{Topology, members, seats};
+use rainlug_coordinator::topology::{Topology, decode_members, encode_members};
 
 const TAIL: &[u8] = b"what stands behind the head";
 
@@ -50,7 +50,7 @@
 }
 
 fn seated() -> Request {
-    let members = seats(&group(&[4, 5, 6]));
+    let members = encode_members(&group(&[4, 5, 6]));
     Request::ReportReplicaSet { shard: 2, term: 3, index: 70, retirements: 1, member_count: 3, members }
 }
 
@@ -78,7 +78,7 @@
 /// Changes in an order in which each does something: two configurations, stores, groups, a retirement, a disk that is replaced.
 fn changes() -> Vec<(&'static str, Change, Bytes)> {
     let seated = |shard, places: &[usize]| {
-        let members = seats(&group(places));
+        let members = encode_members(&group(places));
         Change::SetReplicaSet {
             shard,
             term: 2,
@@ -176,6 +176,6 @@
     let topology = control(&bytes).topology(&group(&[0, 1, 2]));
     let committed = fixture::pin("roster", &[("roster".to_owned(), topology.encode())]);
     let read = Topology::decode(&committed[0].1).unwrap();
-    assert_eq!(members(&read.core).unwrap(), group(&[0, 1, 2]));
+    assert_eq!(decode_members(&read.configuration_members).unwrap(), group(&[0, 1, 2]));
     assert_eq!(read, topology);
 }
