--- a/crates/coordinator/src/serving.rs
+++ b/crates/coordinator/src/serving.rs
@@ -113,7 +113,7 @@
                 self.receive_reservation(
                     number,
                     origin,
-                    Command::Reserve { route, job, shard, tokens, most, at },
+                    Command::Reserve { route, job, shard, tokens, max_waiting_tokens: most, timestamp: at },
                 );
             }
             (1.., Request::ReportUsage) => self.receive_usage_report(number, origin, &tail),
@@ -217,7 +217,7 @@
             }
             ReadQuery::Body { job, item } => {
                 let Some(register) = self.shards.get(&number).and_then(|p| p.register()) else { return };
-                let body = register.body(&job, &item);
+                let body = register.item_body(&job, &item);
                 let answer =
                     body.map_or(Answer::with_status(404), |body| Answer { body, ..Answer::with_status(200) });
                 self.reply(origin, answer);
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
-use rainlug_batch::RunEnd;
+use rainlug_batch::RunOutcome;
 use rainlug_coordinator::{
     Answer, Call, Coordinator, Effect, NodeInfo, Now, ProcessRole, RETENTION_SLACK, founding_id, shard_of_job,
 };
@@ -419,7 +419,7 @@
                 coordinator.handle_timeout(now);
             }
             Event::Ran { shard, job, item, events, .. } => {
-                coordinator.item_finished(now, shard, &job, &item, events, RunEnd::Complete);
+                coordinator.item_finished(now, shard, &job, &item, events, RunOutcome::Complete);
             }
         }
         if let (Some(cost), Some(before)) = (self.cost, allocated_before) {
