--- a/crates/coordinator/tests/spoken.rs
+++ b/crates/coordinator/tests/spoken.rs
@@ -38,7 +38,7 @@
 fn frame_line(bytes: &Bytes) -> (String, Bytes) {
     let (head, tail): (Head, Bytes) = split(bytes).expect("a frame");
     let kind = match head {
-        Head::Ask { .. } | Head::Relay { .. } => {
+        Head::Call { .. } | Head::Relay { .. } => {
             let (request, _): (Request, Bytes) = split(&tail).expect("a request");
             format!("{} {}", name(&head), name(&request))
         }
@@ -64,7 +64,7 @@
     }
     fleet.heal();
     fleet.ask(1, Call::Retire { store: "storage-9".to_owned() }, 2.0);
-    fleet.ask(1, Call::Retiring { store: "storage-4".to_owned() }, 2.0);
+    fleet.ask(1, Call::RetirementStatus { store: "storage-4".to_owned() }, 2.0);
     fleet.pass(1.0);
     fleet.trace.take().expect("it was kept")
 }
