--- a/crates/consensus/tests/bounded_steps.rs
+++ b/crates/consensus/tests/bounded_steps.rs
@@ -7,14 +7,14 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use bytes::Bytes;
-use common::{MILLIS, Network, SECOND, World, is_more_than_bounded, member, members, settings};
+use common::{Cluster, MILLIS, Network, SECOND, is_more_than_bounded, member, members, settings};
 use rainlug_consensus::{
     InMemoryState, Index, MAX_APPLY_BYTES, MAX_APPLY_ENTRIES, MemberId, Ready, Replica, RestoreStep,
     Settings, SnapshotSource, Time,
 };
 
 /// Bytes of a change beside its number.
-const PADDING: usize = 50;
+const PADDING_BYTES: usize = 50;
 const ENTRIES: usize = 5_000;
 
 /// Figures of the tier.
@@ -33,32 +33,32 @@
 
 /// The records of a member of three that has saved so many entries.
 fn long_log(entries: usize, padding: usize) -> Vec<Bytes> {
-    let mut world = World::new(1, &[1, 2, 3], wide());
-    let leader = world.elect();
+    let mut cluster = Cluster::new(1, &[1, 2, 3], wide());
+    let leader = cluster.wait_for_leader();
     for n in 0..entries {
-        world.propose(leader, padding);
+        cluster.propose(leader, padding);
         if n % 100 == 0 {
-            world.run_for(10 * MILLIS);
+            cluster.run_for(10 * MILLIS);
         }
     }
-    world.run_for(SECOND);
-    world.sound();
-    world.nodes[&others(leader)[0]].disk.clone()
+    cluster.run_for(SECOND);
+    cluster.assert_sound();
+    cluster.nodes[&others(leader)[0]].disk.clone()
 }
 
 /// Two of three that have lost power and come back with the same long log; each step of theirs is one call.
-struct Restarted {
+struct RestartedCluster {
     now: Time,
     replicas: Vec<Replica>,
     applied: Vec<usize>,
-    takes: Vec<usize>,
+    apply_steps: Vec<usize>,
     /// Messages that each was sent while its state machine was still behind.
-    heard_meanwhile: usize,
-    sent_meanwhile: usize,
-    too_much: usize,
+    received_while_behind: usize,
+    sent_while_behind: usize,
+    steps_above_bound: usize,
 }
 
-impl Restarted {
+impl RestartedCluster {
     fn new(records: &[Bytes]) -> Self {
         let replicas = [1, 2].map(|id| {
             Replica::recover(member(id), vec![], wide(), records, id, 0).expect("its own records are read")
@@ -67,105 +67,109 @@
             now: 0,
             replicas: replicas.into(),
             applied: vec![0; 2],
-            takes: vec![0; 2],
-            heard_meanwhile: 0,
-            sent_meanwhile: 0,
-            too_much: 0,
+            apply_steps: vec![0; 2],
+            received_while_behind: 0,
+            sent_while_behind: 0,
+            steps_above_bound: 0,
         }
     }
 
     /// One turn of a shell's loop: what is due, one take, and what that sends arrives.
-    fn turn(&mut self, place: usize) {
+    fn step(&mut self, position: usize) {
         let now = self.now;
-        if self.replicas[place].next_timeout() <= now {
-            self.replicas[place].handle_timeout(now);
+        if self.replicas[position].next_timeout() <= now {
+            self.replicas[position].handle_timeout(now);
         }
-        let output = self.replicas[place].take_ready();
-        self.too_much += usize::from(is_more_than_bounded(&output));
-        self.takes[place] += usize::from(!output.committed.is_empty());
-        self.applied[place] += output.committed.len();
-        let was_behind = self.replicas[place].has_unapplied_entries();
+        let output = self.replicas[position].take_ready();
+        self.steps_above_bound += usize::from(is_more_than_bounded(&output));
+        self.apply_steps[position] += usize::from(!output.committed.is_empty());
+        self.applied[position] += output.committed.len();
+        let was_behind = self.replicas[position].has_unapplied_entries();
         assert!(
-            !was_behind || self.replicas[place].next_timeout() <= now,
+            !was_behind || self.replicas[position].next_timeout() <= now,
             "more is to be done, and it does not say so"
         );
         if let Some((ticket, _)) = output.records.last() {
-            self.replicas[place].persisted(now, *ticket);
+            self.replicas[position].persisted(now, *ticket);
         }
         for (to, bytes) in output.messages {
             let Some(at) = self.replicas.iter().position(|replica| replica.local_member().id == to.id) else {
                 continue;
             };
-            self.sent_meanwhile += usize::from(was_behind);
-            self.heard_meanwhile += usize::from(self.replicas[at].has_unapplied_entries());
+            self.sent_while_behind += usize::from(was_behind);
+            self.received_while_behind += usize::from(self.replicas[at].has_unapplied_entries());
             self.replicas[at].receive(now, &bytes).expect("it can be read");
         }
     }
 }
 
 #[test]
-fn given_a_long_log_when_all_restart_then_it_is_applied_in_bounded_parts_under_one_leader() {
-    const TURN: Time = 20 * MILLIS;
-    let records = long_log(ENTRIES, PADDING);
-    let mut fleet = Restarted::new(&records);
+fn given_a_long_log_when_all_restart_then_it_is_applied_in_bounded_steps_under_one_leader() {
+    const STEP: Time = 20 * MILLIS;
+    let records = long_log(ENTRIES, PADDING_BYTES);
+    let mut cluster = RestartedCluster::new(&records);
     let mut leader_terms = vec![];
-    while fleet.applied.iter().any(|&applied| applied < ENTRIES) && fleet.now < 20 * SECOND {
+    while cluster.applied.iter().any(|&applied| applied < ENTRIES) && cluster.now < 20 * SECOND {
         // Given that each part that is applied takes a tenth of the time after which a member stands.
-        fleet.now += TURN;
-        for place in 0..2 {
-            fleet.turn(place);
-            let replica = &fleet.replicas[place];
+        cluster.now += STEP;
+        for position in 0..2 {
+            cluster.step(position);
+            let replica = &cluster.replicas[position];
             if replica.is_leader() {
                 leader_terms.push(replica.term());
             }
             // Then it does not serve before its state machine has all of the earlier terms.
-            assert!(!replica.is_serving_leader() || fleet.applied[place] >= ENTRIES);
+            assert!(!replica.is_serving_leader() || cluster.applied[position] >= ENTRIES);
         }
     }
     leader_terms.dedup();
-    println!("{:?} takes, leaders of terms {leader_terms:?}", fleet.takes);
-    assert_eq!(fleet.applied, [ENTRIES, ENTRIES]);
-    assert_eq!(fleet.too_much, 0);
-    assert!(fleet.takes.iter().all(|&takes| takes >= ENTRIES / MAX_APPLY_ENTRIES), "{:?}", fleet.takes);
+    println!("{:?} takes, leaders of terms {leader_terms:?}", cluster.apply_steps);
+    assert_eq!(cluster.applied, [ENTRIES, ENTRIES]);
+    assert_eq!(cluster.steps_above_bound, 0);
+    assert!(
+        cluster.apply_steps.iter().all(|&apply_steps| apply_steps >= ENTRIES / MAX_APPLY_ENTRIES),
+        "{:?}",
+        cluster.apply_steps
+    );
     // Then who was elected first leads on: signs of life go and come while both are behind.
     assert_eq!(leader_terms.len(), 1, "{leader_terms:?}");
-    assert!(fleet.sent_meanwhile >= 5 && fleet.heard_meanwhile >= 5);
+    assert!(cluster.sent_while_behind >= 5 && cluster.received_while_behind >= 5);
     for _ in 0..3 {
-        fleet.now += TURN;
-        (0..2).for_each(|place| fleet.turn(place));
+        cluster.now += STEP;
+        (0..2).for_each(|position| cluster.step(position));
     }
-    assert!(fleet.replicas.iter().any(Replica::is_serving_leader));
+    assert!(cluster.replicas.iter().any(Replica::is_serving_leader));
 }
 
 #[test]
-fn given_a_member_that_applies_a_long_log_when_it_is_asked_for_a_vote_then_it_answers() {
-    let records = long_log(ENTRIES, PADDING);
-    let mut fleet = Restarted::new(&records);
-    let behind = |fleet: &Restarted| fleet.replicas.iter().any(Replica::has_unapplied_entries);
-    while !behind(&fleet) {
-        fleet.now += MILLIS;
-        (0..2).for_each(|place| fleet.turn(place));
-        assert!(fleet.now < 10 * SECOND);
+fn given_a_member_that_applies_a_long_log_when_a_vote_is_requested_then_it_answers() {
+    let records = long_log(ENTRIES, PADDING_BYTES);
+    let mut cluster = RestartedCluster::new(&records);
+    let behind = |cluster: &RestartedCluster| cluster.replicas.iter().any(Replica::has_unapplied_entries);
+    while !behind(&cluster) {
+        cluster.now += MILLIS;
+        (0..2).for_each(|position| cluster.step(position));
+        assert!(cluster.now < 10 * SECOND);
     }
-    let place = fleet.replicas.iter().position(Replica::has_unapplied_entries).expect("one is behind");
+    let position = cluster.replicas.iter().position(Replica::has_unapplied_entries).expect("one is behind");
     // When it has heard no leader for long, and the other one stands.
-    fleet.now += SECOND;
-    let now = fleet.now;
+    cluster.now += SECOND;
+    let now = cluster.now;
     let mut third = Replica::recover(member(3), vec![], wide(), &records, 3, now).expect("its own records");
     let mut votes = 0;
-    fleet.replicas[place].handle_timeout(now);
+    cluster.replicas[position].handle_timeout(now);
     for _ in 0..200 {
         let later = third.next_timeout();
         third.handle_timeout(later);
         for (to, bytes) in third.take_ready().messages {
-            if to.id == fleet.replicas[place].local_member().id {
-                fleet.replicas[place].receive(later.max(now), &bytes).expect("it can be read");
-                let answers = fleet.replicas[place].take_ready();
+            if to.id == cluster.replicas[position].local_member().id {
+                cluster.replicas[position].receive(later.max(now), &bytes).expect("it can be read");
+                let answers = cluster.replicas[position].take_ready();
                 assert!(!is_more_than_bounded(&answers));
                 votes += answers.messages.iter().filter(|(to, _)| to.id == 3).count();
             }
         }
-        if votes > 0 && fleet.replicas[place].has_unapplied_entries() {
+        if votes > 0 && cluster.replicas[position].has_unapplied_entries() {
             return;
         }
     }
@@ -173,29 +177,29 @@
 }
 
 #[test]
-fn given_entries_of_many_sizes_when_they_are_applied_then_one_longer_than_the_bound_goes_alone() {
+fn given_entries_of_many_sizes_when_they_are_applied_then_one_longer_than_the_bound_is_applied_alone() {
     let sizes = [10, MAX_APPLY_BYTES + 100, MAX_APPLY_BYTES / 2, MAX_APPLY_BYTES / 2, 30, MAX_APPLY_BYTES];
-    let mut world = World::new(2, &[1, 2, 3], wide());
-    let leader = world.elect();
+    let mut cluster = Cluster::new(2, &[1, 2, 3], wide());
+    let leader = cluster.wait_for_leader();
     for size in sizes.repeat(5) {
-        world.propose(leader, size);
+        cluster.propose(leader, size);
     }
-    world.run_for(SECOND);
+    cluster.run_for(SECOND);
     // Then the harness found no take above the bound.
-    world.sound();
+    cluster.assert_sound();
     for id in 1..=3 {
-        world.power_off(id);
+        cluster.power_off(id);
     }
     for id in 1..=3 {
-        world.start(id);
+        cluster.start(id);
     }
-    let leader = world.elect();
-    assert_eq!(world.nodes[&leader].applied.len(), sizes.len() * 5);
-    world.sound();
+    let leader = cluster.wait_for_leader();
+    assert_eq!(cluster.nodes[&leader].applied.len(), sizes.len() * 5);
+    cluster.assert_sound();
 }
 
 #[test]
-fn the_check_finds_a_take_above_the_bound() {
+fn given_a_ready_above_the_bound_when_it_is_checked_then_the_checker_finds_it() {
     let command = |bytes: usize| (1, Bytes::from(vec![0; bytes]));
     let output = |committed: Vec<(Index, Bytes)>| Ready { committed, ..Ready::default() };
     assert!(!is_more_than_bounded(&output(vec![command(MAX_APPLY_BYTES + 1)])));
@@ -207,14 +211,14 @@
 }
 
 /// A state of many pieces that tells how many of them were made.
-struct Counted {
+struct CountingSource {
     chunks: usize,
     made: AtomicUsize,
 }
 
-const COUNTED_CHUNK: usize = 1_000;
+const COUNTED_CHUNK_BYTES: usize = 1_000;
 
-impl Counted {
+impl CountingSource {
     fn new(chunks: usize) -> Arc<Self> {
         Arc::new(Self { chunks, made: AtomicUsize::new(0) })
     }
@@ -223,21 +227,21 @@
     }
 }
 
-impl SnapshotSource for Counted {
+impl SnapshotSource for CountingSource {
     fn chunks(&self) -> usize {
         self.chunks
     }
     fn chunk(&self, number: usize) -> Bytes {
         self.made.fetch_add(1, Ordering::Relaxed);
-        Bytes::from(vec![(number % 251) as u8; COUNTED_CHUNK])
+        Bytes::from(vec![(number % 251) as u8; COUNTED_CHUNK_BYTES])
     }
     fn size(&self) -> u64 {
-        (self.chunks * COUNTED_CHUNK) as u64
+        (self.chunks * COUNTED_CHUNK_BYTES) as u64
     }
 }
 
 /// One that is alone in its group, and has committed some.
-fn alone() -> Replica {
+fn single_leader() -> Replica {
     let mut replica = Replica::new(member(1), members(&[1]), wide(), 1, 0);
     let mut now = 0;
     while !replica.is_serving_leader() {
@@ -259,10 +263,10 @@
 }
 
 #[test]
-fn given_a_big_state_when_it_is_compacted_then_no_piece_is_made_before_the_disk_writes_it() {
+fn given_a_large_state_when_it_is_compacted_then_no_chunk_is_encoded_before_the_disk_writes_it() {
     const CHUNKS: usize = 2_000;
-    let mut replica = alone();
-    let state = Counted::new(CHUNKS);
+    let mut replica = single_leader();
+    let state = CountingSource::new(CHUNKS);
     replica.compact(0, state.clone());
     replica.propose(0, Bytes::from("four")).expect("it leads");
     let output = replica.take_ready();
@@ -282,12 +286,12 @@
     assert_eq!(records.record(records.count()), None);
     // Then who has them restores it in bounded parts, with bytes that are the records' own.
     let mut again = Replica::recover(member(1), vec![], wide(), &one, 2, 0).expect("its own records");
-    let (mut chunks, mut takes) = (0, 0);
+    let (mut chunks, mut apply_steps) = (0, 0);
     while again.has_unapplied_entries() {
         assert!(!again.is_serving_leader() && again.next_timeout() == 0);
         let output = again.take_ready();
         assert!(!is_more_than_bounded(&output));
-        takes += 1;
+        apply_steps += 1;
         for step in output.restore {
             if let RestoreStep::Chunk(chunk) = step {
                 assert_eq!(chunk, state.chunk(chunks));
@@ -298,23 +302,24 @@
         }
     }
     assert_eq!(chunks, CHUNKS);
-    assert!(takes >= CHUNKS * COUNTED_CHUNK / MAX_APPLY_BYTES, "{takes}");
+    assert!(apply_steps >= CHUNKS * COUNTED_CHUNK_BYTES / MAX_APPLY_BYTES, "{apply_steps}");
 }
 
 #[test]
-fn given_records_with_a_piece_missing_twice_or_in_another_place_when_they_are_read_then_that_is_an_error() {
-    let mut replica = alone();
-    replica.compact(0, Counted::new(4));
+fn given_records_with_a_chunk_missing_repeated_or_out_of_order_when_they_are_recovered_then_that_is_an_error()
+{
+    let mut replica = single_leader();
+    replica.compact(0, CountingSource::new(4));
     let whole: Vec<Bytes> = replica.take_ready().rewrite.expect("it is compacted").records.iter().collect();
     let read = |records: &[Bytes]| Replica::recover(member(1), vec![], wide(), records, 1, 0).is_ok();
     assert!(read(&whole));
-    for place in 1..=4 {
+    for position in 1..=4 {
         let (mut without, mut twice, mut swapped) = (whole.clone(), whole.clone(), whole.clone());
-        without.remove(place);
-        twice.insert(place, whole[place].clone());
-        swapped.swap(place, place % 4 + 1);
-        assert!(!read(&without) && !read(&twice) && !read(&swapped), "{place}");
-        assert!(!read(&whole[..place]), "{place}");
+        without.remove(position);
+        twice.insert(position, whole[position].clone());
+        swapped.swap(position, position % 4 + 1);
+        assert!(!read(&without) && !read(&twice) && !read(&swapped), "{position}");
+        assert!(!read(&whole[..position]), "{position}");
     }
     // A snapshot in one record, as files had it earlier: index, term, length of the group, group, state.
     let earlier = Bytes::from([&[3][..], &[1; 8], &[1; 8], &[4, 0, 0, 0], &[0; 4], b"state"].concat());
@@ -322,8 +327,8 @@
 }
 
 #[test]
-fn given_a_snapshot_without_any_pieces_when_it_is_read_then_an_empty_state_is_restored() {
-    let mut leader = alone();
+fn given_a_snapshot_without_chunks_when_it_is_recovered_then_an_empty_state_is_restored() {
+    let mut leader = single_leader();
     leader.compact(0, Arc::new(InMemoryState::new(Bytes::new(), 10)));
     let records = leader.take_ready().rewrite.expect("it is compacted").records;
     let records: Vec<Bytes> = records.iter().collect();
@@ -333,122 +338,128 @@
 
 /// A member that was away for so many changes gets a snapshot of many pieces over bad links, while the leader changes and
 /// compacts again; in the middle of it, this happens.
-fn transfer(seed: u64, what: impl Fn(&mut World, MemberId, MemberId)) {
-    let mut world =
-        World::new(seed, &[1, 2, 3], Settings { compaction_threshold_bytes: 2_000, ..settings(2) });
-    let leader = world.elect();
+fn transfer(seed: u64, what: impl Fn(&mut Cluster, MemberId, MemberId)) {
+    let mut cluster =
+        Cluster::new(seed, &[1, 2, 3], Settings { compaction_threshold_bytes: 2_000, ..settings(2) });
+    let leader = cluster.wait_for_leader();
     let far = others(leader)[0];
-    world.power_off(far);
+    cluster.power_off(far);
     for _ in 0..1_500 {
-        world.propose(leader, PADDING);
-        world.run_for(2 * MILLIS);
+        cluster.propose(leader, PADDING_BYTES);
+        cluster.run_for(2 * MILLIS);
     }
-    world.run_for(SECOND);
-    world.network = Network { loss: 0.05, twice: 0.05, slow: 0.1 };
-    world.start(far);
-    let begun = |world: &World| world.traffic.get(&far).is_some_and(|traffic| traffic.snapshot_bytes > 8_000);
-    assert!(world.run_until(20 * SECOND, begun), "seed {seed}");
-    assert!(world.nodes[&far].applied.is_empty(), "seed {seed}: it is under way");
-    what(&mut world, leader, far);
-    world.network = Network { loss: 0.0, twice: 0.0, slow: 0.0 };
-    let whole = |world: &World| world.nodes[&far].applied.len() == world.history.len();
-    let done = world.run_until(20 * SECOND, |world| world.leader().is_some() && whole(world));
-    world.sound();
-    assert!(done, "seed {seed}: {} of {}", world.nodes[&far].applied.len(), world.history.len());
+    cluster.run_for(SECOND);
+    cluster.network = Network { loss: 0.05, duplication: 0.05, delay: 0.1 };
+    cluster.start(far);
+    let begun =
+        |cluster: &Cluster| cluster.traffic.get(&far).is_some_and(|traffic| traffic.snapshot_bytes > 8_000);
+    assert!(cluster.run_until(20 * SECOND, begun), "seed {seed}");
+    assert!(cluster.nodes[&far].applied.is_empty(), "seed {seed}: it is under way");
+    what(&mut cluster, leader, far);
+    cluster.network = Network { loss: 0.0, duplication: 0.0, delay: 0.0 };
+    let whole = |cluster: &Cluster| cluster.nodes[&far].applied.len() == cluster.history.len();
+    let done = cluster.run_until(20 * SECOND, |cluster| cluster.leader().is_some() && whole(cluster));
+    cluster.assert_sound();
+    assert!(done, "seed {seed}: {} of {}", cluster.nodes[&far].applied.len(), cluster.history.len());
 }
 
 #[test]
-fn given_a_transfer_of_many_pieces_over_bad_links_when_the_leader_changes_then_the_next_one_ends_it() {
+fn given_a_transfer_of_many_chunks_over_bad_links_when_the_leader_changes_then_the_next_one_completes_it() {
     for seed in 0..10 {
-        transfer(seed, |world, leader, _| world.power_off(leader));
+        transfer(seed, |cluster, leader, _| cluster.power_off(leader));
     }
 }
 
 #[test]
-fn given_a_transfer_under_way_when_its_leader_is_replaced_then_what_was_begun_is_dropped_at_once() {
+fn given_a_transfer_in_progress_when_its_leader_is_replaced_then_the_unfinished_state_is_dropped_at_once() {
     for seed in 0..10 {
-        transfer(seed, |world, leader, far| {
-            assert!(world.nodes[&far].building.is_some(), "seed {seed}");
-            let term = world.replica(far).term();
-            world.power_off(leader);
-            let is_replaced = |world: &World| world.replica(far).term() > term;
-            assert!(world.run_until(5 * SECOND, is_replaced), "seed {seed}");
-            assert!(world.nodes[&far].building.is_none(), "seed {seed}");
+        transfer(seed, |cluster, leader, far| {
+            assert!(cluster.nodes[&far].unfinished_state.is_some(), "seed {seed}");
+            let term = cluster.replica(far).term();
+            cluster.power_off(leader);
+            let is_replaced = |cluster: &Cluster| cluster.replica(far).term() > term;
+            assert!(cluster.run_until(5 * SECOND, is_replaced), "seed {seed}");
+            assert!(cluster.nodes[&far].unfinished_state.is_none(), "seed {seed}");
         });
     }
 }
 
 #[test]
-fn given_a_transfer_of_many_pieces_over_bad_links_when_a_new_snapshot_is_made_then_it_ends() {
+fn given_a_transfer_of_many_chunks_over_bad_links_when_a_new_snapshot_is_made_then_it_completes() {
     for seed in 0..10 {
-        transfer(seed, |world, _, _| {
+        transfer(seed, |cluster, _, _| {
             for _ in 0..300 {
-                if let Some(leader) = world.leader() {
-                    world.propose(leader, PADDING);
+                if let Some(leader) = cluster.leader() {
+                    cluster.propose(leader, PADDING_BYTES);
                 }
-                world.run_for(2 * MILLIS);
+                cluster.run_for(2 * MILLIS);
             }
         });
     }
 }
 
 #[test]
-fn given_a_snapshot_that_has_come_whole_when_the_disk_has_not_written_it_then_it_counts_for_nothing() {
+fn given_a_snapshot_that_was_received_completely_when_the_disk_has_not_written_it_then_it_is_not_acknowledged()
+ {
     const CHANGES: u64 = 500;
     for seed in 0..10 {
-        let mut world =
-            World::new(seed, &[1, 2, 3], Settings { compaction_threshold_bytes: 2_000, ..settings(2) });
-        let leader = world.elect();
+        let mut cluster =
+            Cluster::new(seed, &[1, 2, 3], Settings { compaction_threshold_bytes: 2_000, ..settings(2) });
+        let leader = cluster.wait_for_leader();
         let (far, near) = (others(leader)[0], others(leader)[1]);
-        world.power_off(far);
+        cluster.power_off(far);
         for _ in 0..CHANGES {
-            world.propose(leader, PADDING);
-            world.run_for(2 * MILLIS);
+            cluster.propose(leader, PADDING_BYTES);
+            cluster.run_for(2 * MILLIS);
         }
-        world.run_for(SECOND);
-        let lacks = |world: &World| {
-            let behind = world.replica(leader).replication_lag();
+        cluster.run_for(SECOND);
+        let lacks = |cluster: &Cluster| {
+            let behind = cluster.replica(leader).replication_lag();
             behind.iter().find(|lag| lag.member == far).map_or(0, |lag| lag.entries)
         };
         // Given a disk that takes very long.
-        world.nodes.get_mut(&far).expect("a member").disk_delay = 10_000 * SECOND;
-        world.start(far);
-        assert!(world.run_until(10 * SECOND, |world| world.nodes[&far].restores == 1), "seed {seed}");
-        world.run_for(SECOND);
-        assert!(world.unsynced(far) > 0 && lacks(&world) >= CHANGES, "seed {seed}: {}", lacks(&world));
+        cluster.nodes.get_mut(&far).expect("a member").disk_delay = 10_000 * SECOND;
+        cluster.start(far);
+        assert!(cluster.run_until(10 * SECOND, |cluster| cluster.nodes[&far].restores == 1), "seed {seed}");
+        cluster.run_for(SECOND);
+        assert!(
+            cluster.unsynced_writes(far) > 0 && lacks(&cluster) >= CHANGES,
+            "seed {seed}: {}",
+            lacks(&cluster)
+        );
         // Then it is none of a majority: nothing is committed with it alone.
-        world.power_off(near);
-        let command = world.propose(leader, PADDING).expect("it leads");
-        world.run_for(100 * MILLIS);
-        assert!(!world.is_committed(command), "seed {seed}");
+        cluster.power_off(near);
+        let command = cluster.propose(leader, PADDING_BYTES).expect("it leads");
+        cluster.run_for(100 * MILLIS);
+        assert!(!cluster.is_committed(command), "seed {seed}");
         // When it loses power, then it has what it had before.
-        world.power_off(far);
-        world.nodes.get_mut(&far).expect("a member").disk_delay = MILLIS;
-        world.start(far);
-        world.start(near);
-        let whole = |world: &World| world.nodes[&far].applied.len() == world.history.len();
-        assert!(world.run_until(10 * SECOND, |world| world.leader().is_some() && whole(world)));
-        world.sound();
+        cluster.power_off(far);
+        cluster.nodes.get_mut(&far).expect("a member").disk_delay = MILLIS;
+        cluster.start(far);
+        cluster.start(near);
+        let whole = |cluster: &Cluster| cluster.nodes[&far].applied.len() == cluster.history.len();
+        assert!(cluster.run_until(10 * SECOND, |cluster| cluster.leader().is_some() && whole(cluster)));
+        cluster.assert_sound();
     }
 }
 
 #[test]
-fn given_a_transfer_of_many_pieces_when_the_member_crashes_in_the_middle_then_it_begins_again_and_ends() {
+fn given_a_transfer_of_many_chunks_when_the_member_crashes_in_the_middle_then_it_restarts_and_completes() {
     for seed in 0..10 {
-        transfer(seed, |world, _, far| {
-            world.crash(far);
-            world.run_for(SECOND);
-            world.start(far);
+        transfer(seed, |cluster, _, far| {
+            cluster.crash(far);
+            cluster.run_for(SECOND);
+            cluster.start(far);
         });
     }
 }
 
 #[test]
-fn given_a_transfer_of_many_pieces_when_the_leader_stands_still_in_the_middle_then_it_ends() {
+fn given_a_transfer_of_many_chunks_when_the_leader_freezes_in_the_middle_then_it_completes() {
     for seed in 0..10 {
-        transfer(seed, |world, leader, _| {
-            world.freeze(leader, 2 * SECOND);
-            world.run_for(3 * SECOND);
+        transfer(seed, |cluster, leader, _| {
+            cluster.freeze(leader, 2 * SECOND);
+            cluster.run_for(3 * SECOND);
         });
     }
 }
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -33,7 +33,7 @@
     writes: Vec<(u64, Bytes)>,
     applied: Vec<(Index, Bytes)>,
     /// Of all that it was handed.
-    past: u64,
+    history_hash: u64,
 }
 
 #[derive(Clone)]
@@ -59,9 +59,9 @@
 
 /// Whether the one that lost its disk comes back under its old id.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Amnesia {
+enum DiskLoss {
     NewId,
-    OldId,
+    ReusedId,
 }
 
 impl State {
@@ -73,7 +73,7 @@
             disk: vec![],
             writes: vec![],
             applied: vec![],
-            past: id,
+            history_hash: id,
         };
         Self {
             nodes: (1..=3).map(node).collect(),
@@ -87,7 +87,7 @@
     fn key(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for node in &self.nodes {
-            node.past.hash(&mut hasher);
+            node.history_hash.hash(&mut hasher);
         }
         let mut messages = self.messages.clone();
         messages.sort_unstable();
@@ -97,60 +97,62 @@
     }
     fn actions(&self) -> Vec<Action> {
         let mut actions: Vec<Action> = (0..self.messages.len()).map(Action::Deliver).collect();
-        for (place, node) in self.nodes.iter().enumerate() {
+        for (position, node) in self.nodes.iter().enumerate() {
             if !node.writes.is_empty() {
-                actions.push(Action::Sync(place));
+                actions.push(Action::Sync(position));
             }
             if self.proposals > 0
                 && node.replica.leader().is_some_and(|leader| leader == node.replica.local_member())
             {
-                actions.push(Action::Propose(place));
+                actions.push(Action::Propose(position));
             }
             if self.timeouts > 0 {
-                actions.push(Action::Timeout(place));
+                actions.push(Action::Timeout(position));
             }
             if self.losses > 0 {
-                actions.push(Action::Loss(place));
+                actions.push(Action::Loss(position));
             }
         }
         actions
     }
     /// What goes wrong in it, if anything.
-    fn act(&mut self, action: Action, amnesia: Amnesia) -> Result<(), String> {
+    fn apply_action(&mut self, action: Action, disk_loss: DiskLoss) -> Result<(), String> {
         match action {
             Action::Deliver(message) => {
-                let (place, bytes) = self.messages.remove(message);
-                let node = &mut self.nodes[place];
-                node.past = chain(node.past, &bytes);
-                node.replica.receive(node.now, &bytes).map_err(|odd| odd.to_string())?;
-                self.pump(place)
+                let (position, bytes) = self.messages.remove(message);
+                let node = &mut self.nodes[position];
+                node.history_hash = chain(node.history_hash, &bytes);
+                node.replica.receive(node.now, &bytes).map_err(|error| error.to_string())?;
+                self.drive(position)
             }
-            Action::Sync(place) => {
-                let node = &mut self.nodes[place];
-                node.past = chain(node.past, "sync");
+            Action::Sync(position) => {
+                let node = &mut self.nodes[position];
+                node.history_hash = chain(node.history_hash, "sync");
                 let newest = node.writes.last().map_or(0, |(ticket, _)| *ticket);
                 node.disk.extend(node.writes.drain(..).map(|(_, record)| record));
                 node.replica.persisted(node.now, newest);
-                self.pump(place)
+                self.drive(position)
             }
-            Action::Propose(place) => {
+            Action::Propose(position) => {
                 self.proposals -= 1;
-                let node = &mut self.nodes[place];
-                node.past = chain(node.past, "propose");
-                let _ = node.replica.propose(node.now, Bytes::from(vec![self.proposals, node.past as u8]));
-                self.pump(place)
+                let node = &mut self.nodes[position];
+                node.history_hash = chain(node.history_hash, "propose");
+                let _ = node
+                    .replica
+                    .propose(node.now, Bytes::from(vec![self.proposals, node.history_hash as u8]));
+                self.drive(position)
             }
-            Action::Timeout(place) => {
+            Action::Timeout(position) => {
                 self.timeouts = self.timeouts.saturating_sub(1);
-                let node = &mut self.nodes[place];
-                node.past = chain(node.past, "timeout");
+                let node = &mut self.nodes[position];
+                node.history_hash = chain(node.history_hash, "timeout");
                 let end = node.now + 3 * SETTINGS.election_timeout;
                 let before = self.messages.len();
-                while self.nodes[place].now < end && self.messages.len() == before {
-                    let node = &mut self.nodes[place];
+                while self.nodes[position].now < end && self.messages.len() == before {
+                    let node = &mut self.nodes[position];
                     node.now = node.replica.next_timeout();
                     node.replica.handle_timeout(node.now);
-                    self.pump(place)?;
+                    self.drive(position)?;
                 }
                 Ok(())
             }
@@ -162,30 +164,30 @@
                     + 10 * SETTINGS.election_timeout;
                 // What was said before is heard nowhere any more.
                 self.messages.clear();
-                for (place, node) in self.nodes.iter_mut().enumerate() {
-                    node.past = chain(node.past, "loss");
+                for (position, node) in self.nodes.iter_mut().enumerate() {
+                    node.history_hash = chain(node.history_hash, "loss");
                     node.now = now;
                     node.writes.clear();
                     node.applied.clear();
                     let mut me = node.replica.local_member().clone();
                     let mut founding: Vec<Member> = (1..=3).map(member).collect();
-                    if place == lost {
-                        node.past = chain(node.past, "lost");
+                    if position == lost {
+                        node.history_hash = chain(node.history_hash, "lost");
                         node.disk.clear();
-                        if amnesia == Amnesia::NewId {
+                        if disk_loss == DiskLoss::NewId {
                             me = member(4);
                             founding.clear();
                         }
                     }
                     node.replica = Replica::recover(me, founding, SETTINGS, &node.disk, 1, now)
-                        .map_err(|odd| odd.to_string())?;
+                        .map_err(|error| error.to_string())?;
                 }
                 Ok(())
             }
         }
     }
-    fn pump(&mut self, place: usize) -> Result<(), String> {
-        let node = &mut self.nodes[place];
+    fn drive(&mut self, position: usize) -> Result<(), String> {
+        let node = &mut self.nodes[position];
         let output = node.replica.take_ready();
         node.writes.extend(output.records);
         for command in output.committed {
@@ -198,29 +200,32 @@
             }
         }
         for (to, bytes) in output.messages {
-            if let Some(place) = self.nodes.iter().position(|node| node.replica.local_member().id == to.id) {
-                self.messages.push((place, bytes));
+            if let Some(position) = self.nodes.iter().position(|node| node.replica.local_member().id == to.id)
+            {
+                self.messages.push((position, bytes));
             }
         }
         Ok(())
     }
 }
 
-fn chain(past: u64, with: impl Hash) -> u64 {
+fn chain(history_hash: u64, with: impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
-    (past, with).hash(&mut hasher);
+    (history_hash, with).hash(&mut hasher);
     hasher.finish()
 }
 
 /// A leader that has committed its first entry, known to all.
-fn led() -> State {
+fn elected_state() -> State {
     let mut state = State::new();
-    state.act(Action::Timeout(0), Amnesia::NewId).expect("sound");
+    state.apply_action(Action::Timeout(0), DiskLoss::NewId).expect("sound");
     for _ in 0..200 {
-        let next =
-            state.actions().into_iter().find(|act| matches!(act, Action::Deliver(_) | Action::Sync(_)));
+        let next = state
+            .actions()
+            .into_iter()
+            .find(|apply_action| matches!(apply_action, Action::Deliver(_) | Action::Sync(_)));
         let Some(next) = next else { break };
-        state.act(next, Amnesia::NewId).expect("sound");
+        state.apply_action(next, DiskLoss::NewId).expect("sound");
     }
     assert!(state.nodes[0].replica.is_serving_leader(), "the first leads");
     state.timeouts = 0;
@@ -228,7 +233,7 @@
 }
 
 /// Breadth first, so many states at most: how many there were, and what went wrong first.
-fn search(start: State, most: usize, amnesia: Amnesia) -> (usize, Option<String>) {
+fn search(start: State, most: usize, disk_loss: DiskLoss) -> (usize, Option<String>) {
     let mut seen = HashSet::from([start.key()]);
     let mut layer = vec![start];
     while !layer.is_empty() {
@@ -236,7 +241,7 @@
         for state in layer {
             for action in state.actions() {
                 let mut after = state.clone();
-                if let Err(what) = after.act(action, amnesia) {
+                if let Err(what) = after.apply_action(action, disk_loss) {
                     return (seen.len(), Some(format!("{action:?}: {what}")));
                 }
                 if seen.insert(after.key()) {
@@ -254,16 +259,16 @@
 
 /// The first has committed one command with the second; the third has heard nothing of it.
 fn acknowledged() -> State {
-    let mut state = led();
-    state.act(Action::Propose(0), Amnesia::NewId).expect("sound");
+    let mut state = elected_state();
+    state.apply_action(Action::Propose(0), DiskLoss::NewId).expect("sound");
     for _ in 0..200 {
-        let next = state.actions().into_iter().find(|act| match act {
+        let next = state.actions().into_iter().find(|apply_action| match apply_action {
             Action::Deliver(message) => state.messages[*message].0 != 2,
             Action::Sync(_) => true,
             _ => false,
         });
         let Some(next) = next else { break };
-        state.act(next, Amnesia::NewId).expect("sound");
+        state.apply_action(next, DiskLoss::NewId).expect("sound");
     }
     assert_eq!(state.committed.len(), 1);
     state.messages.clear();
@@ -272,51 +277,51 @@
 }
 
 #[test]
-fn no_order_breaks_agreement() {
-    let (states, wrong) = search(led(), 20_000, Amnesia::NewId);
+fn given_a_leader_when_events_come_in_any_order_then_all_agree() {
+    let (states, violations) = search(elected_state(), 20_000, DiskLoss::NewId);
     println!("{states} states");
-    assert_eq!(wrong, None);
+    assert_eq!(violations, None);
 }
 
 #[test]
-fn no_order_after_an_acknowledgement_breaks_agreement() {
-    let (states, wrong) = search(acknowledged(), 20_000, Amnesia::NewId);
+fn given_a_committed_command_when_events_come_in_any_order_then_all_agree() {
+    let (states, violations) = search(acknowledged(), 20_000, DiskLoss::NewId);
     println!("{states} states");
-    assert_eq!(wrong, None);
+    assert_eq!(violations, None);
 }
 
 /// That, and then all have lost power, and this one its disk.
-fn after_loss(lost: usize, amnesia: Amnesia) -> State {
+fn after_loss(lost: usize, disk_loss: DiskLoss) -> State {
     let mut state = acknowledged();
-    state.act(Action::Loss(lost), amnesia).expect("sound");
+    state.apply_action(Action::Loss(lost), disk_loss).expect("sound");
     state
 }
 
 /// No fewer states than those in which the search finds a lost disk under its old id.
 fn hold_after_loss(lost: usize) {
-    let (states, wrong) = search(after_loss(lost, Amnesia::NewId), 60_000, Amnesia::NewId);
+    let (states, violations) = search(after_loss(lost, DiskLoss::NewId), 60_000, DiskLoss::NewId);
     println!("{states} states");
-    assert_eq!(wrong, None);
+    assert_eq!(violations, None);
 }
 
 #[test]
-fn no_order_after_a_loss_of_the_leaders_disk_breaks_agreement() {
+fn given_a_loss_of_the_leaders_disk_when_events_come_in_any_order_then_all_agree() {
     hold_after_loss(0);
 }
 
 #[test]
-fn no_order_after_a_loss_of_the_other_disk_that_has_it_breaks_agreement() {
+fn given_a_loss_of_the_other_disk_with_the_command_when_events_come_in_any_order_then_all_agree() {
     hold_after_loss(1);
 }
 
 #[test]
-fn no_order_after_a_loss_of_the_disk_that_lacks_it_breaks_agreement() {
+fn given_a_loss_of_the_disk_without_the_command_when_events_come_in_any_order_then_all_agree() {
     hold_after_loss(2);
 }
 
 #[test]
-fn the_search_finds_a_lost_disk_under_its_old_id() {
-    let (states, wrong) = search(after_loss(1, Amnesia::OldId), 100_000, Amnesia::OldId);
-    println!("{states} states: {wrong:?}");
-    assert!(wrong.is_some());
+fn given_a_lost_disk_under_its_old_id_when_events_come_in_any_order_then_the_search_finds_it() {
+    let (states, violations) = search(after_loss(1, DiskLoss::ReusedId), 100_000, DiskLoss::ReusedId);
+    println!("{states} states: {violations:?}");
+    assert!(violations.is_some());
 }
--- a/crates/consensus/tests/fencing.rs
+++ b/crates/consensus/tests/fencing.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{MILLIS, Network, SECOND, World, member, settings};
+use common::{Cluster, MILLIS, Network, SECOND, member, settings};
 use rainlug_consensus::{Member, MemberId};
 use rand::Rng;
 use rand::seq::IndexedRandom;
@@ -11,11 +11,11 @@
 /// What the authority that decides on fences does wrong on purpose.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Authority {
-    Right,
+    Correct,
     /// Two nodes are each told that the other one is fenced.
-    InTwoOrders,
+    ConflictingOrders,
     /// A disk is lost before the group that had lost one before has handed over.
-    NextLossAtOnce,
+    LossBeforeHandover,
 }
 
 /// The authority: disks in the order in which they were fenced, and how many each node was told of.
@@ -25,9 +25,9 @@
 
 impl Fences {
     /// Tells a node of some of them, all where `all`.
-    fn tell(&self, world: &mut World, id: MemberId, all: bool) {
-        let count = if all { self.order.len() } else { world.rng.random_range(0..=self.order.len()) };
-        world.fence(id, &self.order[..count]);
+    fn notify(&self, cluster: &mut Cluster, id: MemberId, all: bool) {
+        let count = if all { self.order.len() } else { cluster.rng.random_range(0..=self.order.len()) };
+        cluster.fence(id, &self.order[..count]);
     }
     fn has(&self, id: MemberId) -> bool {
         self.order.contains(&id)
@@ -35,7 +35,7 @@
 }
 
 #[derive(Default, Debug)]
-struct Had {
+struct FaultCounts {
     committed: usize,
     wipes: usize,
     fenced_alive: usize,
@@ -43,175 +43,181 @@
 }
 
 struct Course {
-    world: World,
+    cluster: Cluster,
     fences: Fences,
     authority: Authority,
     spares: Vec<Member>,
     /// Disks that may be lost at once.
-    bears: usize,
-    had: Had,
+    tolerated_losses: usize,
+    counts: FaultCounts,
 }
 
 impl Course {
-    fn new(seed: u64, bears: usize, authority: Authority) -> Self {
-        let founding: Vec<MemberId> = (1..=2 * bears as u64).collect();
-        let mut world = World::new(seed, &founding, settings(bears + 1));
-        world.network = Network { loss: 0.02, twice: 0.02, slow: 0.02 };
+    fn new(seed: u64, tolerated_losses: usize, authority: Authority) -> Self {
+        let founding: Vec<MemberId> = (1..=2 * tolerated_losses as u64).collect();
+        let mut cluster = Cluster::new(seed, &founding, settings(tolerated_losses + 1));
+        cluster.network = Network { loss: 0.02, duplication: 0.02, delay: 0.02 };
         let fences = Fences { order: vec![] };
-        Self { world, fences, authority, spares: vec![], bears, had: Had::default() }
+        Self { cluster, fences, authority, spares: vec![], tolerated_losses, counts: FaultCounts::default() }
     }
 
     fn up(&self) -> Vec<MemberId> {
-        self.world.nodes.iter().filter(|(_, node)| !node.lost).map(|(&id, _)| id).collect()
+        self.cluster.nodes.iter().filter(|(_, node)| !node.has_lost_disk).map(|(&id, _)| id).collect()
     }
 
     /// The group of the leader of the newest term anywhere, where it is known to hold all.
-    fn handed_over(&self) -> Option<(MemberId, Vec<Member>)> {
-        let leader = self.world.leader()?;
-        let replica = self.world.replica(leader);
-        let newest = self.world.nodes.values().filter_map(|node| Some(node.replica.as_ref()?.term())).max();
-        let current = Some(replica.term()) == newest && replica.term() >= self.world.leads_seen;
+    fn durable_replica_set(&self) -> Option<(MemberId, Vec<Member>)> {
+        let leader = self.cluster.leader()?;
+        let replica = self.cluster.replica(leader);
+        let newest = self.cluster.nodes.values().filter_map(|node| Some(node.replica.as_ref()?.term())).max();
+        let current = Some(replica.term()) == newest && replica.term() >= self.cluster.newest_serving_term;
         (current && replica.is_replica_set_durable()).then(|| (leader, replica.members().to_vec()))
     }
 
     /// Members of a group that are lost, or fenced and so no part of what bears the next loss.
-    fn missing(&self, group: &[Member]) -> usize {
-        group.iter().filter(|m| self.world.nodes[&m.id].lost || self.fences.has(m.id)).count()
+    fn missing(&self, replica_set: &[Member]) -> usize {
+        replica_set
+            .iter()
+            .filter(|m| self.cluster.nodes[&m.id].has_lost_disk || self.fences.has(m.id))
+            .count()
     }
 
-    fn wipe(&mut self, id: MemberId) {
-        let new = self.world.wipe(id);
+    fn wipe_disk(&mut self, id: MemberId) {
+        let new = self.cluster.wipe_disk(id);
         self.spares.push(member(new));
         self.fences.order.push(id);
-        self.had.wipes += 1;
+        self.counts.wipes += 1;
     }
 
     fn add_spare(&mut self) {
-        self.world.next_id += 1;
-        let id = self.world.next_id;
-        self.world.add(id, vec![]);
+        self.cluster.next_id += 1;
+        let id = self.cluster.next_id;
+        self.cluster.add(id, vec![]);
         self.spares.push(member(id));
     }
 
     /// One more loss, where the group bears it.
-    fn lose(&mut self) {
-        let at_once = self.authority == Authority::NextLossAtOnce;
-        let group = match self.handed_over() {
-            Some((_, group)) => group,
+    fn lose_disk(&mut self) {
+        let at_once = self.authority == Authority::LossBeforeHandover;
+        let replica_set = match self.durable_replica_set() {
+            Some((_, replica_set)) => replica_set,
             None => return,
         };
-        let whole: Vec<MemberId> = group
+        let whole: Vec<MemberId> = replica_set
             .iter()
             .map(|member| member.id)
-            .filter(|id| !self.world.nodes[id].lost && !self.fences.has(*id))
+            .filter(|id| !self.cluster.nodes[id].has_lost_disk && !self.fences.has(*id))
             .collect();
-        let Some(&one) = whole.choose(&mut self.world.rng) else { return };
-        if self.missing(&group) >= self.bears {
+        let Some(&one) = whole.choose(&mut self.cluster.rng) else { return };
+        if self.missing(&replica_set) >= self.tolerated_losses {
             return;
         }
-        if self.world.rng.random_bool(0.3) {
+        if self.cluster.rng.random_bool(0.3) {
             // It is only away for long, and comes back; its seat is for another machine by then.
-            self.world.crash(one);
+            self.cluster.crash(one);
             self.fences.order.push(one);
             self.add_spare();
-            self.had.fenced_alive += 1;
+            self.counts.fenced_alive += 1;
         } else {
-            self.wipe(one);
+            self.wipe_disk(one);
         }
         if at_once {
             let rest: Vec<MemberId> = whole.into_iter().filter(|id| *id != one).collect();
-            if let Some(&two) = rest.choose(&mut self.world.rng) {
-                self.wipe(two);
+            if let Some(&two) = rest.choose(&mut self.cluster.rng) {
+                self.wipe_disk(two);
             }
         }
     }
 
     /// The leader gives a seat that is lost or fenced to a spare; or swaps, grows or shrinks.
     fn change(&mut self) {
-        let Some(leader) = self.world.elected() else { return };
-        let (group, settled) =
-            (self.world.replica(leader).members(), self.world.replica(leader).is_replica_set_committed());
-        let mut group = group.to_vec();
-        if !settled {
+        let Some(leader) = self.cluster.elected_leader() else { return };
+        let (replica_set, is_committed) =
+            (self.cluster.replica(leader).members(), self.cluster.replica(leader).is_replica_set_committed());
+        let mut replica_set = replica_set.to_vec();
+        if !is_committed {
             return;
         }
-        let out = group.iter().position(|m| self.world.nodes[&m.id].lost || self.fences.has(m.id));
-        let least = 2 * self.bears;
+        let out =
+            replica_set.iter().position(|m| self.cluster.nodes[&m.id].has_lost_disk || self.fences.has(m.id));
+        let least = 2 * self.tolerated_losses;
         if let Some(out) = out {
-            let spare =
-                self.spares.iter().position(|m| !self.world.nodes[&m.id].lost && !self.fences.has(m.id));
+            let spare = self
+                .spares
+                .iter()
+                .position(|m| !self.cluster.nodes[&m.id].has_lost_disk && !self.fences.has(m.id));
             let Some(spare) = spare else { return };
-            group[out] = self.spares[spare].clone();
-            if self.world.change(leader, group).is_ok() {
+            replica_set[out] = self.spares[spare].clone();
+            if self.cluster.change_replica_set(leader, replica_set).is_ok() {
                 self.spares.remove(spare);
-                self.had.replaced += 1;
+                self.counts.replaced += 1;
             }
             return;
         }
-        let place = self.world.rng.random_range(0..group.len());
-        if group.len() > least && self.world.rng.random() {
-            group.remove(place);
+        let position = self.cluster.rng.random_range(0..replica_set.len());
+        if replica_set.len() > least && self.cluster.rng.random() {
+            replica_set.remove(position);
         } else {
-            self.world.next_id += 1;
-            let id = self.world.next_id;
-            self.world.add(id, vec![]);
-            if group.len() < least + 2 && self.world.rng.random() {
-                group.push(member(id));
+            self.cluster.next_id += 1;
+            let id = self.cluster.next_id;
+            self.cluster.add(id, vec![]);
+            if replica_set.len() < least + 2 && self.cluster.rng.random() {
+                replica_set.push(member(id));
             } else {
-                group[place] = member(id);
+                replica_set[position] = member(id);
             }
         }
-        let _ = self.world.change(leader, group);
+        let _ = self.cluster.change_replica_set(leader, replica_set);
     }
 
     fn step(&mut self) {
-        let pause = self.world.rng.random_range(MILLIS..60 * MILLIS);
-        self.world.run_for(pause);
+        let pause = self.cluster.rng.random_range(MILLIS..60 * MILLIS);
+        self.cluster.run_for(pause);
         let up = self.up();
-        let Some(&one) = up.choose(&mut self.world.rng) else { return };
-        let Some(&two) = up.choose(&mut self.world.rng) else { return };
-        let leader = self.world.elected();
-        match self.world.rng.random_range(0..100) {
+        let Some(&one) = up.choose(&mut self.cluster.rng) else { return };
+        let Some(&two) = up.choose(&mut self.cluster.rng) else { return };
+        let leader = self.cluster.elected_leader();
+        match self.cluster.rng.random_range(0..100) {
             0..30 => {
-                let padding = self.world.rng.random_range(0..300);
-                self.world.propose(leader.unwrap_or(one), padding);
+                let padding = self.cluster.rng.random_range(0..300);
+                self.cluster.propose(leader.unwrap_or(one), padding);
             }
             30..40 => {
-                self.world.read(leader.unwrap_or(one));
-                self.world.read(one);
+                self.cluster.read(leader.unwrap_or(one));
+                self.cluster.read(one);
             }
-            40..44 => self.world.crash(one),
-            44..46 => up.iter().for_each(|&id| self.world.power_off(id)),
-            46..56 => up.iter().for_each(|&id| self.world.start(id)),
+            40..44 => self.cluster.crash(one),
+            44..46 => up.iter().for_each(|&id| self.cluster.power_off(id)),
+            46..56 => up.iter().for_each(|&id| self.cluster.start(id)),
             56..58 => {
-                let time = self.world.rng.random_range(10 * MILLIS..SECOND);
-                self.world.freeze(one, time);
+                let time = self.cluster.rng.random_range(10 * MILLIS..SECOND);
+                self.cluster.freeze(one, time);
             }
-            58..61 => self.world.cut(one, two),
-            61..66 => self.world.cuts.clear(),
-            66..72 => self.lose(),
-            72..86 => self.fences.tell(&mut self.world, one, false),
+            58..61 => self.cluster.block_link(one, two),
+            61..66 => self.cluster.blocked_links.clear(),
+            66..72 => self.lose_disk(),
+            72..86 => self.fences.notify(&mut self.cluster, one, false),
             _ => self.change(),
         }
-        if self.authority == Authority::InTwoOrders && one != two {
-            self.world.fence(one, &[two]);
-            self.world.fence(two, &[one]);
+        if self.authority == Authority::ConflictingOrders && one != two {
+            self.cluster.fence(one, &[two]);
+            self.cluster.fence(two, &[one]);
         }
     }
 
     /// The faults end; what must then be.
-    fn heal(&mut self) -> Result<(), String> {
-        self.world.network = Network { loss: 0.0, twice: 0.0, slow: 0.0 };
-        self.world.cuts.clear();
+    fn end_faults(&mut self) -> Result<(), String> {
+        self.cluster.network = Network { loss: 0.0, duplication: 0.0, delay: 0.0 };
+        self.cluster.blocked_links.clear();
         for _ in 0..300 {
             for id in self.up() {
-                self.world.start(id);
-                self.fences.tell(&mut self.world, id, true);
+                self.cluster.start(id);
+                self.fences.notify(&mut self.cluster, id, true);
             }
-            self.world.run_for(100 * MILLIS);
-            let whole = self.handed_over().filter(|(_, group)| self.missing(group) == 0);
-            if let Some((_, group)) = whole {
-                return self.caught_up(&group);
+            self.cluster.run_for(100 * MILLIS);
+            let whole = self.durable_replica_set().filter(|(_, replica_set)| self.missing(replica_set) == 0);
+            if let Some((_, replica_set)) = whole {
+                return self.caught_up(&replica_set);
             }
             self.replace_missing();
         }
@@ -219,8 +225,8 @@
     }
 
     fn replace_missing(&mut self) {
-        let Some(leader) = self.world.elected() else { return };
-        if self.missing(self.world.replica(leader).members()) > 0 {
+        let Some(leader) = self.cluster.elected_leader() else { return };
+        if self.missing(self.cluster.replica(leader).members()) > 0 {
             if self.spares.iter().all(|spare| self.fences.has(spare.id)) {
                 self.add_spare();
             }
@@ -228,69 +234,69 @@
         }
     }
 
-    fn caught_up(&mut self, group: &[Member]) -> Result<(), String> {
+    fn caught_up(&mut self, replica_set: &[Member]) -> Result<(), String> {
         // A leader may be replaced as it is asked.
         let mut last = None;
         for _ in 0..100 {
-            last = self.world.leader().and_then(|leader| self.world.propose(leader, 0));
-            if last.is_some_and(|last| self.world.run_until(SECOND, |world| world.is_committed(last))) {
+            last = self.cluster.leader().and_then(|leader| self.cluster.propose(leader, 0));
+            if last.is_some_and(|last| self.cluster.run_until(SECOND, |cluster| cluster.is_committed(last))) {
                 break;
             }
-            self.world.run_for(100 * MILLIS);
+            self.cluster.run_for(100 * MILLIS);
         }
         let last = last.ok_or("a whole group does not take a command")?;
-        let done = self.world.run_until(60 * SECOND, |world| {
-            group
+        let done = self.cluster.run_until(60 * SECOND, |cluster| {
+            replica_set
                 .iter()
-                .all(|member| world.nodes[&member.id].applied.last().is_some_and(|(_, id)| *id >= last))
+                .all(|member| cluster.nodes[&member.id].applied.last().is_some_and(|(_, id)| *id >= last))
         });
         if done { Ok(()) } else { Err("not all caught up after the faults".to_owned()) }
     }
 }
 
-fn course(seed: u64, bears: usize, authority: Authority) -> Result<Had, String> {
-    let mut course = Course::new(seed, bears, authority);
+fn course(seed: u64, tolerated_losses: usize, authority: Authority) -> Result<FaultCounts, String> {
+    let mut course = Course::new(seed, tolerated_losses, authority);
     for _ in 0..400 {
         course.step();
-        if let Some(violation) = course.world.violation.take() {
+        if let Some(violation) = course.cluster.violation.take() {
             return Err(violation);
         }
     }
-    let healed = course.heal();
-    if let Some(violation) = course.world.violation.take() {
+    let healed = course.end_faults();
+    if let Some(violation) = course.cluster.violation.take() {
         return Err(violation);
     }
     healed?;
-    course.had.committed = course.world.history.len();
-    Ok(course.had)
+    course.counts.committed = course.cluster.history.len();
+    Ok(course.counts)
 }
 
-fn courses(seeds: std::ops::Range<u64>, bears: usize) {
-    let mut all = Had::default();
-    let mut wrong = vec![];
+fn courses(seeds: std::ops::Range<u64>, tolerated_losses: usize) {
+    let mut all = FaultCounts::default();
+    let mut violations = vec![];
     for seed in seeds {
-        match course(seed, bears, Authority::Right) {
-            Ok(had) => {
-                all.committed += had.committed;
-                all.wipes += had.wipes;
-                all.fenced_alive += had.fenced_alive;
-                all.replaced += had.replaced;
+        match course(seed, tolerated_losses, Authority::Correct) {
+            Ok(counts) => {
+                all.committed += counts.committed;
+                all.wipes += counts.wipes;
+                all.fenced_alive += counts.fenced_alive;
+                all.replaced += counts.replaced;
             }
-            Err(what) => wrong.push(format!("seed {seed}: {what}")),
+            Err(what) => violations.push(format!("seed {seed}: {what}")),
         }
     }
     println!("{all:?}");
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
     assert!(all.committed > 100 && all.wipes > 0 && all.fenced_alive > 0 && all.replaced > 0, "{all:?}");
 }
 
 #[test]
-fn given_groups_of_two_when_disks_are_lost_in_turn_then_nothing_committed_is_lost() {
+fn given_replica_sets_of_two_when_disks_are_lost_in_turn_then_nothing_committed_is_lost() {
     courses(0..200, 1);
 }
 
 #[test]
-fn given_groups_of_four_when_two_disks_are_lost_at_once_then_nothing_committed_is_lost() {
+fn given_replica_sets_of_four_when_two_disks_are_lost_at_once_then_nothing_committed_is_lost() {
     courses(0..100, 2);
 }
 
@@ -299,69 +305,69 @@
 }
 
 #[test]
-fn given_fences_in_two_orders_then_the_checker_finds_it() {
+fn given_fences_in_conflicting_orders_when_disks_are_lost_then_the_checker_finds_it() {
     let found = (0..200)
-        .any(|seed| course(seed, 1, Authority::InTwoOrders).is_err_and(|what| what.starts_with("at ")));
+        .any(|seed| course(seed, 1, Authority::ConflictingOrders).is_err_and(|what| what.starts_with("at ")));
     assert!(found);
 }
 
 #[test]
-fn given_a_loss_before_the_group_has_handed_over_then_the_checker_finds_it() {
-    assert!(is_found(Authority::NextLossAtOnce));
+fn given_a_loss_before_the_replica_set_is_durable_when_disks_are_lost_then_the_checker_finds_it() {
+    assert!(is_found(Authority::LossBeforeHandover));
 }
 
 #[test]
-fn given_a_group_of_two_when_one_disk_is_lost_then_only_its_fence_lets_the_other_lead() {
-    let mut world = World::new(1, &[1, 2], settings(2));
-    let leader = world.elect();
-    let command = world.propose(leader, 0).expect("it leads");
-    world.commit(command);
+fn given_a_replica_set_of_two_when_one_disk_is_lost_then_only_its_fence_lets_the_other_lead() {
+    let mut cluster = Cluster::new(1, &[1, 2], settings(2));
+    let leader = cluster.wait_for_leader();
+    let command = cluster.propose(leader, 0).expect("it leads");
+    cluster.wait_for_commit(command);
     let (lost, left) = (leader, 3 - leader);
-    let new = world.wipe(lost);
-    world.run_for(5 * SECOND);
-    assert_eq!(world.leader(), None, "one of two is no quorum");
-    world.fence(left, &[lost]);
-    world.run_for(5 * SECOND);
-    assert_eq!((world.elected(), world.leader()), (Some(left), None), "it may not serve yet");
+    let new = cluster.wipe_disk(lost);
+    cluster.run_for(5 * SECOND);
+    assert_eq!(cluster.leader(), None, "one of two is no quorum");
+    cluster.fence(left, &[lost]);
+    cluster.run_for(5 * SECOND);
+    assert_eq!((cluster.elected_leader(), cluster.leader()), (Some(left), None), "it may not serve yet");
     // It leads, but commits nothing more until two disks hold it.
-    let alone = world.propose(left, 0).expect("it leads");
-    world.run_for(5 * SECOND);
-    assert!(!world.is_committed(alone));
-    world.change(left, vec![member(left), member(new)]).expect("the group is settled");
-    world.commit(alone);
-    assert!(world.run_until(SECOND, |world| world.replica(left).is_replica_set_durable()));
+    let single_leader = cluster.propose(left, 0).expect("it leads");
+    cluster.run_for(5 * SECOND);
+    assert!(!cluster.is_committed(single_leader));
+    cluster.change_replica_set(left, vec![member(left), member(new)]).expect("the group is settled");
+    cluster.wait_for_commit(single_leader);
+    assert!(cluster.run_until(SECOND, |cluster| cluster.replica(left).is_replica_set_durable()));
     // The next loss, of the one that held all: the newcomer does now.
-    let newest = world.wipe(left);
-    world.fence(new, &[lost, left]);
-    assert!(world.run_until(5 * SECOND, |world| world.elected() == Some(new)));
-    world.change(new, vec![member(new), member(newest)]).expect("the group is settled");
-    let last = world.propose(new, 0).expect("it leads");
-    world.commit(last);
-    assert_eq!(world.history.len(), 3, "nothing is lost: {:?}", world.history);
-    world.sound();
+    let newest = cluster.wipe_disk(left);
+    cluster.fence(new, &[lost, left]);
+    assert!(cluster.run_until(5 * SECOND, |cluster| cluster.elected_leader() == Some(new)));
+    cluster.change_replica_set(new, vec![member(new), member(newest)]).expect("the group is settled");
+    let last = cluster.propose(new, 0).expect("it leads");
+    cluster.wait_for_commit(last);
+    assert_eq!(cluster.history.len(), 3, "nothing is lost: {:?}", cluster.history);
+    cluster.assert_sound();
 }
 
 #[test]
-fn given_a_fenced_member_that_comes_back_when_it_stands_then_it_is_not_elected() {
-    let mut world = World::new(2, &[1, 2], settings(2));
-    let leader = world.elect();
+fn given_a_fenced_member_that_comes_back_when_it_campaigns_then_it_is_not_elected() {
+    let mut cluster = Cluster::new(2, &[1, 2], settings(2));
+    let leader = cluster.wait_for_leader();
     let (away, left) = (leader, 3 - leader);
-    world.crash(away);
-    world.fence(left, &[away]);
-    assert!(world.run_until(5 * SECOND, |world| world.elected() == Some(left)));
-    world.add(3, vec![]);
-    world.change(left, vec![member(left), member(3)]).expect("the group is settled");
-    assert!(world.run_until(5 * SECOND, |world| world.replica(left).is_replica_set_durable()));
+    cluster.crash(away);
+    cluster.fence(left, &[away]);
+    assert!(cluster.run_until(5 * SECOND, |cluster| cluster.elected_leader() == Some(left)));
+    cluster.add(3, vec![]);
+    cluster.change_replica_set(left, vec![member(left), member(3)]).expect("the group is settled");
+    assert!(cluster.run_until(5 * SECOND, |cluster| cluster.replica(left).is_replica_set_durable()));
     // The one that is away knows nothing of it, and meets nobody of the new group.
-    world.start(away);
-    world.cut(away, left);
-    world.cut(left, away);
-    world.run_for(5 * SECOND);
-    assert_eq!(world.leader(), Some(left));
+    cluster.start(away);
+    cluster.block_link(away, left);
+    cluster.block_link(left, away);
+    cluster.run_for(5 * SECOND);
+    assert_eq!(cluster.leader(), Some(left));
     // Nor when it hears of fences: they come in their order, its own first.
-    world.fence(away, &[away]);
-    world.fence(away, &[away, left]);
-    world.run_for(5 * SECOND);
-    assert_eq!(world.leader(), Some(left));
-    world.sound();
+    cluster.fence(away, &[away]);
+    cluster.fence(away, &[away, left]);
+    cluster.run_for(5 * SECOND);
+    assert_eq!(cluster.leader(), Some(left));
+    cluster.assert_sound();
 }
--- a/crates/consensus/tests/format.rs
+++ b/crates/consensus/tests/format.rs
@@ -9,16 +9,16 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use common::{MILLIS, SECOND, Trace, World, body_code, encode, member, members, settings};
+use common::{Cluster, MILLIS, SECOND, Trace, body_code, encode, member, members, settings};
 use rainlug_consensus::{InMemoryState, Index, Member, MemberId, Ready, Replica, RestoreStep, Time};
 
-const GROUP: [MemberId; 3] = [1, 2, 3];
+const FOUNDING: [MemberId; 3] = [1, 2, 3];
 /// Who joins it later.
-const NEWCOMER: MemberId = 4;
+const JOINING_MEMBER: MemberId = 4;
 /// Of each kind, so many different messages or records are pinned.
-const OF_EACH_KIND: usize = 6;
+const MAX_PER_KIND: usize = 6;
 /// How long a story goes on after each of its events.
-const PAUSE: Time = SECOND;
+const EVENT_INTERVAL: Time = SECOND;
 
 const MESSAGE_KINDS: [&str; 7] =
     ["RequestVote", "Vote", "AppendEntries", "Appended", "Rejected", "InstallSnapshot", "SnapshotWanted"];
@@ -33,61 +33,61 @@
     (RECORD_KINDS[usize::from(bytes[0]) - 1].to_owned(), bytes.clone())
 }
 
-fn propose(world: &mut World, count: usize) {
+fn propose(cluster: &mut Cluster, count: usize) {
     for _ in 0..count {
-        let leader = world.elect();
-        world.propose(leader, 40);
-        world.run_for(20 * MILLIS);
+        let leader = cluster.wait_for_leader();
+        cluster.propose(leader, 40);
+        cluster.run_for(20 * MILLIS);
     }
 }
 
 /// A leader that is cut off has entries that nobody else gets; then it is back, and its log is made like the others'.
-fn replace_the_leader(world: &mut World) {
-    let old = world.elect();
-    world.isolate(old);
-    world.propose(old, 30);
-    world.propose(old, 31);
-    world.run_until(10 * SECOND, |world| world.leader().is_some_and(|leader| leader != old));
-    propose(world, 3);
-    world.cuts.clear();
-    world.run_for(PAUSE);
+fn replace_leader(cluster: &mut Cluster) {
+    let old = cluster.wait_for_leader();
+    cluster.isolate(old);
+    cluster.propose(old, 30);
+    cluster.propose(old, 31);
+    cluster.run_until(10 * SECOND, |cluster| cluster.leader().is_some_and(|leader| leader != old));
+    propose(cluster, 3);
+    cluster.blocked_links.clear();
+    cluster.run_for(EVENT_INTERVAL);
 }
 
 /// A follower is away until what it lacks is only in a snapshot; then it is back.
-fn leave_a_follower_behind(world: &mut World) {
-    let leader = world.elect();
-    let away = GROUP.into_iter().find(|id| *id != leader).expect("a follower");
-    world.power_off(away);
-    propose(world, 120);
-    world.start(away);
-    world.run_for(PAUSE);
+fn send_snapshot_to_follower(cluster: &mut Cluster) {
+    let leader = cluster.wait_for_leader();
+    let away = FOUNDING.into_iter().find(|id| *id != leader).expect("a follower");
+    cluster.power_off(away);
+    propose(cluster, 120);
+    cluster.start(away);
+    cluster.run_for(EVENT_INTERVAL);
 }
 
 /// A fourth member is taken in, and one of the first goes.
-fn change_the_group(world: &mut World) {
-    let leader = world.elect();
-    world.recording = Some(NEWCOMER);
-    world.add(NEWCOMER, vec![]);
-    world.change(leader, members(&[1, 2, 3, 4])).expect("it joins");
-    world.run_for(PAUSE);
-    let gone = GROUP.into_iter().find(|id| *id != leader).expect("a follower");
+fn change_replica_set_members(cluster: &mut Cluster) {
+    let leader = cluster.wait_for_leader();
+    cluster.recording = Some(JOINING_MEMBER);
+    cluster.add(JOINING_MEMBER, vec![]);
+    cluster.change_replica_set(leader, members(&[1, 2, 3, 4])).expect("it joins");
+    cluster.run_for(EVENT_INTERVAL);
+    let gone = FOUNDING.into_iter().find(|id| *id != leader).expect("a follower");
     let rest: Vec<MemberId> = [1, 2, 3, 4].into_iter().filter(|id| *id != gone).collect();
-    world.change(leader, members(&rest)).expect("it goes");
-    world.run_for(PAUSE);
-    propose(world, 3);
+    cluster.change_replica_set(leader, members(&rest)).expect("it goes");
+    cluster.run_for(EVENT_INTERVAL);
+    propose(cluster, 3);
 }
 
 /// All that the members of a group say and keep over the events of its life.
-fn story() -> (World, Trace) {
-    let mut world = World::new(7, &GROUP, settings(2));
-    world.trace = Some(Trace::default());
-    propose(&mut world, 3);
-    replace_the_leader(&mut world);
-    leave_a_follower_behind(&mut world);
-    change_the_group(&mut world);
-    world.sound();
-    let trace = world.trace.take().expect("it was kept");
-    (world, trace)
+fn scenario() -> (Cluster, Trace) {
+    let mut cluster = Cluster::new(7, &FOUNDING, settings(2));
+    cluster.trace = Some(Trace::default());
+    propose(&mut cluster, 3);
+    replace_leader(&mut cluster);
+    send_snapshot_to_follower(&mut cluster);
+    change_replica_set_members(&mut cluster);
+    cluster.assert_sound();
+    let trace = cluster.trace.take().expect("it was kept");
+    (cluster, trace)
 }
 
 /// A replica with a disk that saves at once, and a state machine that keeps what it is handed.
@@ -95,14 +95,14 @@
     replica: Replica,
     disk: Vec<Bytes>,
     /// All that the disk ever was told to keep.
-    told: Vec<Bytes>,
+    written: Vec<Bytes>,
     state: Vec<u8>,
     committed: Vec<(Index, Bytes)>,
 }
 
 impl Node {
     fn new(replica: Replica) -> Self {
-        Node { replica, disk: vec![], told: vec![], state: vec![], committed: vec![] }
+        Node { replica, disk: vec![], written: vec![], state: vec![], committed: vec![] }
     }
 
     fn recover(me: Member, disk: &[Bytes]) -> Self {
@@ -110,7 +110,7 @@
     }
 
     /// Carries out all that its replica wants; messages are dropped.
-    fn carry_out(&mut self, now: Time) {
+    fn process_ready(&mut self, now: Time) {
         for _ in 0..100 {
             let output = self.replica.take_ready();
             self.keep(&output, now);
@@ -129,12 +129,12 @@
         let mut tickets = vec![];
         if let Some(rewrite) = &output.rewrite {
             self.disk = rewrite.records.iter().collect();
-            self.told.extend(rewrite.records.iter());
+            self.written.extend(rewrite.records.iter());
             tickets.push(rewrite.ticket);
         }
         for (ticket, record) in &output.records {
             self.disk.push(record.clone());
-            self.told.push(record.clone());
+            self.written.push(record.clone());
             tickets.push(*ticket);
         }
         if let Some(ticket) = tickets.into_iter().max() {
@@ -147,13 +147,13 @@
         while !self.replica.is_serving_leader() {
             now = now.max(self.replica.next_timeout());
             self.replica.handle_timeout(now);
-            self.carry_out(now);
+            self.process_ready(now);
         }
         now
     }
 
     /// Its state where the commands are those of the harness.
-    fn whole_state(&self) -> Vec<u8> {
+    fn full_state(&self) -> Vec<u8> {
         let number = |command: &Bytes| u64::from_le_bytes(command[..8].try_into().expect("eight bytes"));
         let committed: Vec<(Index, u64)> =
             self.committed.iter().map(|(index, command)| (*index, number(command))).collect();
@@ -168,48 +168,48 @@
 }
 
 /// A member alone in its group commits commands before and after a snapshot of two pieces.
-fn life_of_a_single_member() -> Node {
+fn run_single_member() -> Node {
     let me = single_member();
     let mut node = Node::new(Replica::new(me.clone(), vec![me], settings(1), 1, 0));
     let now = node.lead(0);
     for command in ["one", "two", "three"] {
         node.replica.propose(now, Bytes::from(command)).expect("it leads");
-        node.carry_out(now);
+        node.process_ready(now);
         if command == "two" {
             node.replica.compact(now, Arc::new(InMemoryState::new(Bytes::from_static(b"a whole state"), 8)));
-            node.carry_out(now);
+            node.process_ready(now);
         }
     }
     node
 }
 
 /// It starts again and gives up its log: the records that it then keeps.
-fn vacated(disk: &[Bytes]) -> Vec<Bytes> {
+fn tombstone_records(disk: &[Bytes]) -> Vec<Bytes> {
     let mut node = Node::recover(single_member(), disk);
-    node.carry_out(0);
+    node.process_ready(0);
     assert!(node.replica.become_tombstone(0));
-    node.carry_out(0);
-    node.told
+    node.process_ready(0);
+    node.written
 }
 
 #[test]
-fn given_a_fixed_seed_then_messages_of_each_kind_are_the_committed_ones() {
-    let all = story().1.messages.iter().map(message_line).collect();
-    let committed = fixture::pin("messages", &fixture::first_of_each_kind(all, OF_EACH_KIND));
+fn given_a_fixed_seed_then_messages_of_each_kind_are_the_pinned_ones() {
+    let all = scenario().1.messages.iter().map(message_line).collect();
+    let committed = fixture::pin("messages", &fixture::first_of_each_kind(all, MAX_PER_KIND));
     for kind in MESSAGE_KINDS {
         assert!(!fixture::of_kind(&committed, kind).is_empty(), "no {kind}");
     }
 }
 
 #[test]
-fn given_a_fixed_seed_then_records_of_each_kind_are_the_committed_ones() {
-    let all = story().1.records.iter().map(record_line).collect();
-    fixture::pin("records", &fixture::first_of_each_kind(all, OF_EACH_KIND));
+fn given_a_fixed_seed_then_records_of_each_kind_are_the_pinned_ones() {
+    let all = scenario().1.records.iter().map(record_line).collect();
+    fixture::pin("records", &fixture::first_of_each_kind(all, MAX_PER_KIND));
 }
 
 #[test]
-fn given_a_single_member_then_its_records_are_the_committed_ones_and_it_starts_again_with_them() {
-    let node = life_of_a_single_member();
+fn given_a_single_member_then_its_records_are_the_pinned_ones_and_it_recovers_from_them() {
+    let node = run_single_member();
     let disk: fixture::Lines = node.disk.iter().map(record_line).collect();
     let committed = fixture::pin("single_member", &disk);
 
@@ -224,8 +224,8 @@
 }
 
 #[test]
-fn given_a_member_that_gives_up_its_log_then_its_records_are_the_committed_ones() {
-    let made: fixture::Lines = vacated(&life_of_a_single_member().disk).iter().map(record_line).collect();
+fn given_a_member_that_becomes_a_tombstone_then_its_records_are_the_pinned_ones() {
+    let made: fixture::Lines = tombstone_records(&run_single_member().disk).iter().map(record_line).collect();
     let committed = fixture::pin("vacated", &made);
     assert!(!fixture::of_kind(&committed, "VoteFloor").is_empty());
     let disk: Vec<Bytes> = committed.into_iter().map(|(_, record)| record).collect();
@@ -234,48 +234,48 @@
 }
 
 #[test]
-fn given_committed_messages_when_a_replica_hears_them_then_it_reads_each() {
+fn given_pinned_messages_when_a_replica_receives_them_then_it_reads_each() {
     for (kind, bytes) in fixture::read("messages") {
         let to = MemberId::from_le_bytes(bytes[..8].try_into().expect("a receiver"));
-        let mut replica = Replica::new(member(to), members(&GROUP), settings(2), 1, 0);
+        let mut replica = Replica::new(member(to), members(&FOUNDING), settings(2), 1, 0);
         assert_eq!(replica.receive(1, &bytes), Ok(()), "{kind}");
         assert!(replica.receive(1, &bytes.slice(..20)).is_err(), "{kind} without its end");
     }
 }
 
 #[test]
-fn given_the_committed_messages_to_a_newcomer_when_a_replica_hears_them_then_it_has_the_groups_state() {
-    let (world, _) = story();
-    let made: fixture::Lines = world.recorded.iter().map(message_line).collect();
+fn given_the_pinned_messages_to_a_joining_member_when_a_replica_receives_them_then_it_has_the_state() {
+    let (cluster, _) = scenario();
+    let made: fixture::Lines = cluster.recorded.iter().map(message_line).collect();
     let committed = fixture::pin("newcomer", &made);
 
-    let mut node = Node::new(Replica::new(member(NEWCOMER), vec![], settings(2), 1, 0));
+    let mut node = Node::new(Replica::new(member(JOINING_MEMBER), vec![], settings(2), 1, 0));
     for (kind, bytes) in committed {
         assert_eq!(node.replica.receive(1, &bytes), Ok(()), "{kind}");
-        node.carry_out(1);
+        node.process_ready(1);
     }
-    assert_eq!(node.replica.term(), world.replica(NEWCOMER).term());
-    let expected = world.replica(NEWCOMER);
+    assert_eq!(node.replica.term(), cluster.replica(JOINING_MEMBER).term());
+    let expected = cluster.replica(JOINING_MEMBER);
     assert_eq!(node.replica.members(), expected.members());
     assert_eq!(node.replica.is_replica_set_committed(), expected.is_replica_set_committed());
     assert!(!node.state.is_empty(), "a snapshot came");
     assert!(!node.committed.is_empty(), "entries came behind it");
-    assert_eq!(node.whole_state(), encode(&world.nodes[&NEWCOMER].applied));
+    assert_eq!(node.full_state(), encode(&cluster.nodes[&JOINING_MEMBER].applied));
 }
 
 #[test]
-fn given_the_committed_disk_of_a_member_when_it_starts_again_then_it_has_what_it_kept() {
-    let (world, _) = story();
-    let made: fixture::Lines = world.nodes[&NEWCOMER].disk.iter().map(record_line).collect();
+fn given_the_pinned_disk_of_a_member_when_it_recovers_then_it_has_what_it_persisted() {
+    let (cluster, _) = scenario();
+    let made: fixture::Lines = cluster.nodes[&JOINING_MEMBER].disk.iter().map(record_line).collect();
     let committed = fixture::pin("disk", &made);
 
     let disk: Vec<Bytes> = committed.into_iter().map(|(_, record)| record).collect();
-    let mut node = Node::recover(member(NEWCOMER), &disk);
-    node.carry_out(0);
-    let expected = world.replica(NEWCOMER);
+    let mut node = Node::recover(member(JOINING_MEMBER), &disk);
+    node.process_ready(0);
+    let expected = cluster.replica(JOINING_MEMBER);
     assert_eq!(node.replica.term(), expected.term());
     assert_eq!(node.replica.members(), expected.members());
     assert_eq!(node.replica.is_replica_set_committed(), expected.is_replica_set_committed());
-    let whole = encode(&world.nodes[&NEWCOMER].applied);
+    let whole = encode(&cluster.nodes[&JOINING_MEMBER].applied);
     assert!(!node.state.is_empty() && whole.starts_with(&node.state));
 }
--- a/crates/consensus/tests/quorum.rs
+++ b/crates/consensus/tests/quorum.rs
@@ -8,24 +8,24 @@
 use rainlug_consensus::{MemberId, Quorums};
 
 /// All sets of `1..=size`.
-fn sets(size: u64) -> impl Iterator<Item = BTreeSet<MemberId>> {
+fn subsets(size: u64) -> impl Iterator<Item = BTreeSet<MemberId>> {
     (0..1u64 << size).map(move |bits| (1..=size).filter(|id| bits >> (id - 1) & 1 == 1).collect())
 }
 
 /// All sets that are quorums under some prefix of this order of fences.
 fn quorums(size: u64, order: &[MemberId]) -> Vec<BTreeSet<MemberId>> {
     let ids: Vec<MemberId> = (1..=size).collect();
-    let group = members(&ids);
+    let replica_set = members(&ids);
     let mut found = vec![];
     for fences in 0..=order.len() {
         let fenced: BTreeSet<MemberId> = order[..fences].iter().copied().collect();
-        let quorums = Quorums::new(&group, &fenced);
-        found.extend(sets(size).filter(|set| quorums.is_met(|id| set.contains(&id))));
+        let quorums = Quorums::new(&replica_set, &fenced);
+        found.extend(subsets(size).filter(|set| quorums.is_met(|id| set.contains(&id))));
     }
     found
 }
 
-fn two_that_do_not_meet(found: &[BTreeSet<MemberId>]) -> Option<(BTreeSet<MemberId>, BTreeSet<MemberId>)> {
+fn disjoint_pair(found: &[BTreeSet<MemberId>]) -> Option<(BTreeSet<MemberId>, BTreeSet<MemberId>)> {
     let pairs = found.iter().flat_map(|one| found.iter().map(move |two| (one, two)));
     pairs.filter(|(one, two)| one.is_disjoint(two)).map(|(one, two)| (one.clone(), two.clone())).next()
 }
@@ -48,26 +48,22 @@
 fn given_fences_in_one_order_when_any_two_quorums_form_then_they_meet() {
     for size in 1..=6 {
         for order in orders(size) {
-            assert_eq!(
-                two_that_do_not_meet(&quorums(size, &order)),
-                None,
-                "{size} members, fences {order:?}"
-            );
+            assert_eq!(disjoint_pair(&quorums(size, &order)), None, "{size} members, fences {order:?}");
         }
     }
 }
 
 #[test]
-fn given_fences_in_two_orders_then_two_quorums_of_an_even_group_do_not_meet() {
+fn given_fences_in_conflicting_orders_then_two_quorums_of_an_even_replica_set_do_not_meet() {
     for size in [2, 4, 6] {
         let mut found = quorums(size, &[1]);
         found.extend(quorums(size, &[2]));
-        assert!(two_that_do_not_meet(&found).is_some(), "{size} members");
+        assert!(disjoint_pair(&found).is_some(), "{size} members");
     }
 }
 
 #[test]
-fn given_every_quorum_when_one_fenced_disk_of_an_even_group_is_lost_then_one_half_is_left_to_decide() {
+fn given_an_even_replica_set_when_one_fenced_disk_is_lost_then_the_other_half_is_a_quorum() {
     for size in [2, 4, 6] {
         let half: BTreeSet<MemberId> = (1..=size / 2).collect();
         assert!(!quorums(size, &[]).contains(&half), "{size} members without a fence");
@@ -76,13 +72,13 @@
 }
 
 #[test]
-fn given_figures_then_what_is_reached_is_what_the_best_quorum_has() {
-    let group = members(&[1, 2, 3, 4]);
-    let figure = |member: &rainlug_consensus::Member| [40, 30, 20, 10][member.id as usize - 1];
+fn given_values_of_members_then_what_is_reached_is_what_the_best_quorum_has() {
+    let replica_set = members(&[1, 2, 3, 4]);
+    let value = |member: &rainlug_consensus::Member| [40, 30, 20, 10][member.id as usize - 1];
     let none = BTreeSet::new();
-    assert_eq!(Quorums::new(&group, &none).reached(figure), 20);
+    assert_eq!(Quorums::new(&replica_set, &none).reached(value), 20);
     let fenced = BTreeSet::from([4]);
-    assert_eq!(Quorums::new(&group, &fenced).reached(figure), 30);
+    assert_eq!(Quorums::new(&replica_set, &fenced).reached(value), 30);
     let fenced = BTreeSet::from([1]);
-    assert_eq!(Quorums::new(&group, &fenced).reached(figure), 20);
+    assert_eq!(Quorums::new(&replica_set, &fenced).reached(value), 20);
 }
--- a/crates/consensus/tests/vacating.rs
+++ b/crates/consensus/tests/tombstone.rs
@@ -18,7 +18,7 @@
     }
 
     /// Carries out what it wants; its messages.
-    fn carry_out(&mut self, now: Time) -> Vec<(Member, Bytes)> {
+    fn process_ready(&mut self, now: Time) -> Vec<(Member, Bytes)> {
         let output = self.replica.take_ready();
         let mut ticket = None;
         if let Some(rewrite) = output.rewrite {
@@ -51,7 +51,8 @@
             node.replica.handle_timeout(*now);
         }
         loop {
-            let sent: Vec<(Member, Bytes)> = nodes.iter_mut().flat_map(|node| node.carry_out(*now)).collect();
+            let sent: Vec<(Member, Bytes)> =
+                nodes.iter_mut().flat_map(|node| node.process_ready(*now)).collect();
             if sent.is_empty() {
                 break;
             }
@@ -64,11 +65,11 @@
     }
 }
 
-const GROUP: [u64; 3] = [1, 2, 3];
+const FOUNDING: [u64; 3] = [1, 2, 3];
 
 /// A group of three, of which the last one has missed what the others have committed.
 fn with_one_left_behind(now: &mut Time) -> [Node; 3] {
-    let [mut first, mut second, third] = GROUP.map(|id| Node::new(id, &GROUP));
+    let [mut first, mut second, third] = FOUNDING.map(|id| Node::new(id, &FOUNDING));
     run(&mut [&mut first, &mut second], now, 2_000 * MILLIS);
     let leader = if first.replica.is_serving_leader() { &mut first } else { &mut second };
     leader.replica.propose(*now, Bytes::from_static(&[7; 100])).unwrap();
@@ -77,21 +78,21 @@
 }
 
 /// The follower of the first two gives up what it holds.
-fn vacated(first: Node, second: Node, now: Time) -> Node {
+fn tombstone_records(first: Node, second: Node, now: Time) -> Node {
     let mut follower = if first.replica.is_serving_leader() { second } else { first };
     assert!(follower.replica.become_tombstone(now));
-    follower.carry_out(now);
+    follower.process_ready(now);
     follower
 }
 
 #[test]
-fn a_member_that_gave_up_its_log_elects_nobody_who_lacks_what_it_held() {
+fn given_a_tombstone_when_a_member_that_lacks_its_log_campaigns_then_that_one_is_not_elected() {
     for restarts in [false, true] {
         let mut now = 0;
         let [first, second, mut third] = with_one_left_behind(&mut now);
-        let mut vacant = vacated(first, second, now);
+        let mut vacant = tombstone_records(first, second, now);
         if restarts {
-            vacant.restart(&GROUP, now);
+            vacant.restart(&FOUNDING, now);
         }
         run(&mut [&mut vacant, &mut third], &mut now, 10_000 * MILLIS);
         assert!(!third.replica.is_leader(), "restarted: {restarts}");
@@ -99,30 +100,30 @@
 }
 
 #[test]
-fn a_founder_that_gave_up_its_log_does_not_found_the_group_again() {
+fn given_a_founding_member_that_became_a_tombstone_when_it_restarts_then_it_founds_nothing_again() {
     let mut now = 0;
     let [first, second, _] = with_one_left_behind(&mut now);
-    let mut vacant = vacated(first, second, now);
-    vacant.restart(&GROUP, now);
+    let mut vacant = tombstone_records(first, second, now);
+    vacant.restart(&FOUNDING, now);
     assert!(vacant.replica.is_tombstone());
     run(&mut [&mut vacant], &mut now, 5_000 * MILLIS);
     assert!(vacant.replica.members().is_empty());
 }
 
 #[test]
-fn a_member_that_gave_up_its_log_keeps_its_term_on_a_short_file() {
+fn given_a_tombstone_when_it_restarts_then_it_has_its_term_and_a_short_file() {
     let mut now = 0;
     let [first, second, _] = with_one_left_behind(&mut now);
     let term = first.replica.term();
-    let mut vacant = vacated(first, second, now);
-    vacant.restart(&GROUP, now);
+    let mut vacant = tombstone_records(first, second, now);
+    vacant.restart(&FOUNDING, now);
     assert_eq!(vacant.replica.term(), term);
     let length: usize = vacant.disk.iter().map(Bytes::len).sum();
     assert!(length < 100, "{length} bytes");
 }
 
 #[test]
-fn a_leader_gives_up_nothing() {
+fn given_a_leader_when_it_is_to_become_a_tombstone_then_it_keeps_everything() {
     let mut now = 0;
     let [first, second, _] = with_one_left_behind(&mut now);
     let mut leader = if first.replica.is_serving_leader() { first } else { second };
@@ -131,20 +132,20 @@
 }
 
 #[test]
-fn a_member_that_gave_up_its_log_is_filled_again() {
+fn given_a_tombstone_when_it_joins_again_then_it_catches_up() {
     let mut now = 0;
     let [first, second, _] = with_one_left_behind(&mut now);
     let (mut leader, follower) =
         if first.replica.is_serving_leader() { (first, second) } else { (second, first) };
-    let mut third = Node::new(3, &GROUP);
+    let mut third = Node::new(3, &FOUNDING);
     run(&mut [&mut leader, &mut third], &mut now, 500 * MILLIS);
     let id = follower.replica.local_member().id;
-    let rest: Vec<u64> = GROUP.into_iter().filter(|other| *other != id).collect();
+    let rest: Vec<u64> = FOUNDING.into_iter().filter(|other| *other != id).collect();
     leader.replica.change_replica_set(now, members(&rest)).unwrap();
     run(&mut [&mut leader, &mut third], &mut now, 500 * MILLIS);
     let mut vacant = follower;
     assert!(vacant.replica.become_tombstone(now));
-    vacant.carry_out(now);
+    vacant.process_ready(now);
 
     leader.replica.change_replica_set(now, members(&[rest[0], rest[1], id])).unwrap();
     run(&mut [&mut leader, &mut third, &mut vacant], &mut now, 500 * MILLIS);
