--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -11,8 +11,10 @@
 use bytes::Bytes;
 use quick_error::quick_error;
 use rainlug::Time;
-use rainlug_batch::{Next, RunEnd};
-use rainlug_coordinator::{Answer, Call, Coordinator, Effect, KEEP_SLACK, NodeInfo, Now, founding_id};
+use rainlug_batch::{ItemRun, RunOutcome};
+use rainlug_coordinator::{
+    Answer, Call, Coordinator, Effect, KEEP_SLACK, NodeInfo, Now, ProcessRole, founding_id,
+};
 use rainlug_fleet::envelope::{Envelope, MOST};
 use rainlug_gateway::{Gateway, Item, RanEnd, Reply, Replying};
 use rainlug_placement::Mechanisms;
@@ -30,6 +32,7 @@
 use crate::disk::{Disk, PartLog, Told};
 use crate::log;
 use crate::peers::Peers;
+
 use crate::settings::{self, Settings};
 use crate::step_times::StepTimes;
 
@@ -56,14 +59,8 @@
     }
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
-    Gateway,
-    Store,
-}
-
 pub struct Node {
-    role: Role,
+    role: ProcessRole,
     clock: Clock,
     coordinator: RefCell<Coordinator>,
     socket: UdpSocket,
@@ -116,12 +113,12 @@
     ///
     /// # Errors
     /// Where settings, sockets or disk cannot be used.
-    pub async fn run(role: Role, settings: Settings, mechanisms: Mechanisms) -> Result<(), Error> {
+    pub async fn run(role: ProcessRole, settings: Settings, mechanisms: Mechanisms) -> Result<(), Error> {
         let clock = Clock::start();
         let (saved, mut on_disk) = mpsc::unbounded_channel::<Told>();
-        let peer = settings.peer();
-        let seeds = settings.seed_peers();
-        let founds = settings.first_boot && role == Role::Gateway && seeds.contains(&peer);
+        let peer = settings.peer_address();
+        let seeds = settings.seed_peer_addresses();
+        let founds = settings.first_boot && role == ProcessRole::Gateway && seeds.contains(&peer);
         let drawn = if founds { founding_id(peer) } else { draw().max(1) };
         let disk_bytes = (settings.limits.disk_mb.max(1.0) * 1e6) as u64;
         let (disk, logs) = match &settings.data_dir {
@@ -133,21 +130,21 @@
         };
         let control_at = settings.listen.control;
         let told = NodeInfo {
-            node: settings.node.clone(),
+            node_name: settings.node.clone(),
             zone: settings.zone.clone(),
-            at: peer,
-            control: control_at,
-            gateway: role == Role::Gateway,
+            peer_address: peer,
+            control_address: control_at,
+            role,
             disk: disk.as_ref().map(Disk::id),
             first_boot: settings.first_boot,
             seeds,
-            tolerate: settings.tolerate.machines as usize,
-            heartbeat: settings.beat_ms as Time * 1000,
+            tolerated_failures: settings.tolerate.machines as usize,
+            heartbeat_interval: settings.heartbeat_ms as Time * 1000,
             disk_bytes: disk_bytes as usize,
             memory_bytes: (settings.limits.memory_mb * 1e6) as usize,
             link_bytes_per_second: settings.limits.link_bytes_per_second(),
             sync_time: settings.bounds.sync_time(),
-            relays: mechanisms.contains(Mechanisms::RELAYS),
+            relays_enabled: mechanisms.contains(Mechanisms::RELAYS),
             job_retention: (settings.bounds.status_s * 1e6) as Time + KEEP_SLACK,
             seed: draw(),
         };
@@ -215,13 +212,13 @@
             spawn_local(control::serve(node.clone(), listen(at).await?));
         }
         spawn_local(crate::metrics::start(node.clone(), settings.ip));
-        if role == Role::Gateway {
+        if role == ProcessRole::Gateway {
             let front = settings.listen.front.ok_or(Error::Missing("listen.front"))?;
             spawn_local(node.gateway.clone().serve(listen(front).await?, Rc::new(Desk(node.clone()))));
         }
         if let Some(at) = settings.listen.ready {
             let coordinator = node.clone();
-            let ready = Rc::new(move || coordinator.coordinator.borrow().ready(coordinator.clock.now()));
+            let ready = Rc::new(move || coordinator.coordinator.borrow().is_ready(coordinator.clock.now()));
             spawn_local(node.gateway.clone().readiness(listen(at).await?, ready));
         }
         node.with("start", |_, _| ());
@@ -243,7 +240,7 @@
             }
         }
         log::event("stop", "told to end");
-        if self.role == Role::Gateway {
+        if self.role == ProcessRole::Gateway {
             // Bounded by itself: it ends before the grace does.
             self.gateway.stop().await;
         }
@@ -259,7 +256,7 @@
         let begun = Instant::now();
         let result = what(&mut self.coordinator.borrow_mut(), self.clock.now());
         self.pump();
-        self.steps.ended(step, begun.elapsed());
+        self.steps.record(step, begun.elapsed());
         result
     }
 
@@ -353,16 +350,16 @@
         answered.await.unwrap_or_else(|_| Answer::of(503))
     }
 
-    async fn item(self: Rc<Self>, shard: u16, next: Next) {
+    async fn item(self: Rc<Self>, shard: u16, next: ItemRun) {
         let route = {
             let configuration = self.configuration.borrow();
             configuration.as_ref().and_then(|c| c.routes.iter().find(|r| r.name == next.route).cloned())
         };
         let (job, id) = (next.job.clone(), next.item.id.clone());
         let (events, end) = match route {
-            None => (Vec::new(), RunEnd::NoRoom),
+            None => (Vec::new(), RunOutcome::NoCapacity),
             Some(route) => {
-                let left = (next.until - self.clock.now().wall).max(0) / 1000;
+                let left = (next.retain_until - self.clock.now().wall).max(0) / 1000;
                 let item = Item {
                     id: next.item.id,
                     route,
@@ -375,11 +372,11 @@
                 };
                 let ran = self.gateway.item(item).await;
                 let end = match ran.end {
-                    RanEnd::Complete => RunEnd::Complete,
-                    RanEnd::Failed => RunEnd::Failed,
-                    RanEnd::Never => RunEnd::Never,
-                    RanEnd::Again => RunEnd::Again,
-                    RanEnd::NoRoom => RunEnd::NoRoom,
+                    RanEnd::Complete => RunOutcome::Complete,
+                    RanEnd::Failed => RunOutcome::Failed,
+                    RanEnd::Never => RunOutcome::Unprocessable,
+                    RanEnd::Again => RunOutcome::Interrupted,
+                    RanEnd::NoRoom => RunOutcome::NoCapacity,
                 };
                 (ran.events, end)
             }
@@ -395,7 +392,7 @@
             }
             for _ in 0..BURST {
                 let Ok((length, from)) = self.socket.try_recv_from(&mut buffer) else { break };
-                if !self.peers.faults.may_hear(from) {
+                if !self.peers.faults.may_receive(from) {
                     continue;
                 }
                 if let Ok(payload) = self.envelope.open(&buffer[..length]) {
