--- a/crates/coordinator/src/info.rs
+++ b/crates/coordinator/src/info.rs
@@ -10,7 +10,7 @@
 
 /// How long batch jobs are kept beyond the time for which they can be asked for, in microseconds: it covers the clocks of two
 /// leaders that differ, a read that is under way, and a margin (`docs/control-bounds.md`, *How long outputs stay*).
-pub const KEEP_SLACK: Time = 20 * SECOND;
+pub const RETENTION_SLACK: Time = 20 * SECOND;
 
 /// What a process does for the tier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/coordinator/src/lost_membership.rs
+++ b/crates/coordinator/src/lost_membership.rs
@@ -17,7 +17,7 @@
 
 use rainlug::{SECOND, Time};
 
-use crate::shard::Machine;
+use crate::shard::StateMachine;
 use crate::{BATCH_SHARDS, Coordinator, Effect};
 
 /// How long no leader must have been heard: longer than the elections, starts and cuts after which a change goes on.
@@ -57,9 +57,9 @@
         }
         shard.lost_membership_since = None;
         shard.restoring = None;
-        shard.compact_wanted = false;
-        (shard.machine, shard.quota_ledger) = (Machine::empty(number), Default::default());
+        shard.is_snapshot_wanted = false;
+        (shard.state_machine, shard.quota_ledger) = (StateMachine::empty(number), Default::default());
         self.effects.push(Effect::Log("vacated", format!("part {number}: another store has the seat")));
-        self.drain(number);
+        self.process_output(number);
     }
 }
