--- a/crates/tier/src/main.rs
+++ b/crates/tier/src/main.rs
@@ -6,7 +6,7 @@
 
 use bpaf::Bpaf;
 use rainlug_tier::check;
-use rainlug_tier::listings::{Members, Parts, Stores, Workers};
+use rainlug_tier::listings::{Members, Shards, Stores, Workers};
 use rainlug_tier::local::{self, Plan, plan};
 use rainlug_tier::operator::{self, Retirement};
 use rainlug_tier::process::ProcessRole;
@@ -151,7 +151,7 @@
         Rainlug::Check { files } => ExitCode::from(if check::check_files(&files) { 0 } else { 2 }),
         Rainlug::Members(a) => show(operator::list::<Members>(&a.at, a.json)),
         Rainlug::Workers(a) => show(operator::list::<Workers>(&a.at, a.json)),
-        Rainlug::Parts(a) => show(operator::list::<Parts>(&a.at, a.json)),
+        Rainlug::Parts(a) => show(operator::list::<Shards>(&a.at, a.json)),
         Rainlug::Stores(a) => show(operator::list::<Stores>(&a.at, a.json)),
         Rainlug::Figures(a) => show(operator::read_metrics(&a.at, a.json)),
         Rainlug::Configuration(Operation::Get(a)) => show(operator::get_configuration(&a.at)),
--- a/crates/tier/src/roles.rs
+++ b/crates/tier/src/roles.rs
@@ -11,8 +11,7 @@
 use rainlug_sim_worker::{SimWorker, WorkerSettings, engine::Shape};
 
 use crate::log;
-use crate::node::Node;
-use crate::process::ProcessRole;
+use crate::process::{self, ProcessRole};
 use crate::settings::Settings;
 
 /// How a gateway or a store is options.
@@ -112,7 +111,7 @@
     if mechanisms != Mechanisms::all() {
         log::event("experiment", &format!("left out: {}", options.without.join(", ")));
     }
-    match block_on_local(Node::run(role, settings, mechanisms)) {
+    match block_on_local(process::run(role, settings, mechanisms)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             log::error("stop", &error.to_string());
