--- /dev/null
+++ b/crates/coordinator/src/disk_fencing.rs
@@ -0,0 +1,92 @@
+//! Fencing of disks, and new identities for disks that must not vote as what they were.
+//!
+//! A replica set that has lost exactly half of its members cannot elect a leader. Where other stores could take the lost places,
+//! the configuration's shard fences the absent disks: their votes do not count any more, so the half that is left decides. A
+//! disk that was only isolated comes back under a new identity, as an empty one (VR revisited, recovery).
+
+use rainlug::{SECOND, Time};
+use rainlug_consensus::{Member, MemberId};
+use rand::Rng;
+
+use crate::control::{Change, Control};
+use crate::{BATCH_SHARDS, CONTROL, Coordinator, Effect};
+
+/// A member that has been absent for longer is fenced where its replica set cannot decide without it, in microseconds.
+const FENCE_ABSENT_AFTER: Time = SECOND;
+
+impl Coordinator {
+    /// Fences disks whose absence leaves half of a replica set of batch jobs, where another store could take their place.
+    pub(crate) fn fence_absent_disks(&mut self) {
+        let Some(control) = self.shards.get(&CONTROL).and_then(|shard| shard.control()) else { return };
+        let mut fences: Vec<MemberId> = Vec::new();
+        for set in control.groups.values() {
+            let is_absent = |member: &&Member| self.absence(&member.address) > FENCE_ABSENT_AFTER;
+            let absent: Vec<&Member> = set.members.iter().filter(is_absent).collect();
+            let is_tied = 2 * absent.len() == set.members.len();
+            if is_tied && self.has_spare_store(control, &set.members) {
+                let disks = absent.iter().map(|member| member.id);
+                fences.extend(disks.filter(|disk| !control.is_fenced(*disk)));
+            }
+        }
+        for disk in fences {
+            self.effects.push(Effect::Log("fence", format!("disk {disk:x}")));
+            self.propose_maintenance(Change::Fence { disk });
+        }
+    }
+
+    /// Whether a live store could join these members.
+    fn has_spare_store(&self, control: &Control, members: &[Member]) -> bool {
+        control.stores.values().any(|store| {
+            !store.is_retiring()
+                && !control.is_fenced(store.member.id)
+                && self.live_peers.contains_key(&store.member.address)
+                && members.iter().all(|member| member.id != store.member.id)
+        })
+    }
+
+    /// Tells all batch-job replicas here which disks are fenced.
+    pub(crate) fn apply_fences(&mut self) {
+        for number in 1..=BATCH_SHARDS {
+            if let Some(shard) = self.shards.get_mut(&number) {
+                shard.replica.fence(self.now.steady, self.topology.fenced.iter().copied());
+                self.drain(number);
+            }
+        }
+    }
+
+    /// A store whose disk was fenced, and is no member of any replica set any more, goes on with a new disk identity.
+    pub(crate) fn replace_fenced_disk_identity(&mut self) {
+        let Some(disk) = self.info.disk else { return };
+        if self.info.role.is_gateway() || !self.topology.is_fenced(disk) {
+            return;
+        }
+        let may_be_member = |number: u16| {
+            let set = self.topology.replica_set(number);
+            set.is_none_or(|set| set.has_member(disk))
+        };
+        if !(1..=BATCH_SHARDS).any(may_be_member) {
+            self.replace_disk_identity(disk);
+        }
+    }
+
+    /// From now on the store is one with an empty disk.
+    fn replace_disk_identity(&mut self, disk: MemberId) {
+        self.shards.clear();
+        let new: MemberId = self.rng.random::<u64>().max(1);
+        self.info.disk = Some(new);
+        let details = format!("disk {disk:x} is {new:x} from now on");
+        self.effects.push(Effect::Log("disk identity", details));
+        self.effects.push(Effect::Renew { disk: new });
+    }
+
+    /// What the disk holds of a shard cannot be read, so this process must neither serve nor vote by it. A store counts its disk
+    /// as lost and is filled again; a member of the configuration's shard takes no part in it until it is replaced.
+    pub(crate) fn discard_disk(&mut self, number: u16) {
+        if number == CONTROL {
+            self.shards.remove(&CONTROL);
+            self.info.disk = None;
+        } else if let Some(disk) = self.info.disk {
+            self.replace_disk_identity(disk);
+        }
+    }
+}
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod capacity;
 pub mod control;
 mod diagnostics;
+mod disk_fencing;
 mod dissemination;
 pub mod frame;
 mod info;
@@ -23,6 +24,7 @@
 mod reports;
 mod serving;
 mod shard;
+mod shard_founding;
 pub mod topology;
 mod worker_calls;
 
@@ -35,7 +37,7 @@
 use rainlug_batch::RunEnd;
 use rainlug_consensus::{Member, MemberId, Settings};
 use rainlug_fleet::{Card, View, Ways};
-use rainlug_registry::{Configuration, Gossip, gossip, report};
+use rainlug_registry::{Configuration, Gossip, report};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -47,6 +49,7 @@
 use frame::{DecodeError, Head, Request, split};
 use membership::{COMPARING_PERIOD, LivePeer};
 use quota::Reserved;
+use replica_placement::JoinCandidate;
 use shard::Shard;
 use topology::Topology;
 
@@ -127,7 +130,7 @@
     registrars: RefCell<BTreeMap<String, Option<SocketAddr>>>,
     /// When the workers of services that are this process's duty were last heard.
     heartbeats: BTreeMap<String, Time>,
-    join_candidates: BTreeMap<MemberId, (Member, Time)>,
+    join_candidates: BTreeMap<MemberId, JoinCandidate>,
     /// Disks of the core that were seated before, by where they were.
     maintenance_at: Time,
     announce_at: Time,
--- a/crates/coordinator/src/lost_membership.rs
+++ b/crates/coordinator/src/lost_membership.rs
@@ -1,40 +1,40 @@
-//! A store that has lost its seat in a part gives up what it holds of it: state, log and file.
+//! A store that is no member of a shard any more drops what it holds of it: state, log and file. What stays is a tombstone.
 //!
-//! Nobody sends it anything any more, so it can only be told by the roster. A replica is given up where all of this holds:
+//! Nobody sends it anything any more, so it can learn that from the topology alone. A replica is dropped where all of this holds:
 //!
-//! - The roster's group of the part does not list this disk. A part's leader tells of a group once that is committed and handed
-//!   over. The group of a change that is under way, and a store that is being added, are not told of yet.
-//! - That group is as of an entry no older than the newest group entry in the log here. A roster may be old: it then says nothing
-//!   of a store that was added later, whose log has a newer group entry, committed or not.
-//! - No leader has been heard for some time. A store that is being added hears its leader ten times a second, also before it has
-//!   the entry that adds it.
-//! - It neither leads nor stands for election here.
+//! - The topology's replica set of the shard does not list this disk. A shard's leader reports a replica set once that is committed
+//!   and durable; a change that is under way, and a store that is being added, are not in the topology yet.
+//! - That replica set is as of an entry no older than the newest replica-set entry in the log here. A topology may be old: it then
+//!   says nothing of a store that was added later, whose log has a newer such entry, committed or not.
+//! - No leader has been heard from for some time. A store that is being added receives its leader's heartbeat ten times a second,
+//!   also before it has the entry that adds it.
+//! - The replica here neither leads nor campaigns.
 //!
-//! What others may still build on stays in a file of some 60 bytes, see
-//! [`rainlug_consensus::Replica::become_tombstone`]: without its vote a
-//! member could vote twice in a term, without the end of its log it could elect the leader of a group that has ended, and founders
-//! without a file would found the group once more. When the store is given a seat again it begins with that.
+//! What others may still build on stays in a file of some 60 bytes, see [`rainlug_consensus::Replica::become_tombstone`]: without
+//! its vote a member could vote twice in a term, without the end of its log it could elect the leader of a replica set that has
+//! ended, and founders without a file would found the shard once more. When the store becomes a member again it begins with that.
 
 use rainlug::{SECOND, Time};
 
 use crate::shard::Machine;
 use crate::{BATCH_SHARDS, Coordinator, Effect};
 
-/// How long no leader must have been heard: longer than the elections, starts and cuts after which a change goes on.
-const QUIET: Time = 4 * SECOND;
+/// How long no leader must have been heard from, in microseconds: longer than the elections, starts and partitions after which a
+/// change of the replica set goes on.
+const TOMBSTONE_DELAY: Time = 4 * SECOND;
 
 impl Coordinator {
-    /// Gives up the replicas that no group counts on any more.
+    /// Drops the replicas that no replica set counts on any more.
     pub(crate) fn tombstone_lost_memberships(&mut self) {
         for number in 1..=BATCH_SHARDS {
-            let may_go = self.has_lost_membership(number);
+            let is_lost = self.has_lost_membership(number);
             let now = self.now.steady;
             let Some(shard) = self.shards.get_mut(&number) else { continue };
-            if !may_go {
+            if !is_lost {
                 shard.lost_membership_since = None;
                 continue;
             }
-            if now - *shard.lost_membership_since.get_or_insert(now) >= QUIET {
+            if now - *shard.lost_membership_since.get_or_insert(now) >= TOMBSTONE_DELAY {
                 self.tombstone_replica(number);
             }
         }
@@ -59,7 +59,7 @@
         shard.restoring = None;
         shard.compact_wanted = false;
         (shard.machine, shard.quota_ledger) = (Machine::empty(number), Default::default());
-        self.effects.push(Effect::Log("vacated", format!("part {number}: another store has the seat")));
+        self.effects.push(Effect::Log("tombstone", format!("shard {number}: another store took the place")));
         self.drain(number);
     }
 }
--- a/crates/coordinator/src/replica_placement.rs
+++ b/crates/coordinator/src/replica_placement.rs
@@ -1,348 +1,220 @@
-//! Who has a seat in which group: the leader of the configuration's part keeps its own group whole, founds the parts of batch
-//! jobs and fences disks; the leader of a part of batch jobs keeps that part's group whole.
+//! Which disks are members of which shard's replica set.
+//!
+//! The leader of the configuration's shard chooses the members of that shard; the leader of a batch-job shard chooses those of its
+//! own and reports them, so that the topology names them. One member is exchanged, added or removed at a time, and only once the
+//! change before is committed (Raft 4.1: single-server changes). Members are spread over zones first, then over stores.
 
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
-use rainlug_consensus::{Member, MemberId};
-use rand::Rng;
+use rainlug_consensus::Member;
+use rainlug_registry::gossip;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::calls::Goal;
-use crate::control::Change;
-use crate::frame::{MemberRecord, Request, join};
-use crate::maintenance::ANNOUNCE;
+use crate::frame::Request;
+use crate::maintenance::ANNOUNCE_INTERVAL;
 use crate::shard::Machine;
-use crate::topology::decode_members;
-use crate::{BATCH_SHARDS, CONTROL, Coordinator, Effect, Origin, gossip};
+use crate::topology::encode_members;
+use crate::{CONTROL, Coordinator, Effect};
+
+/// A member that has been absent for longer is replaced, if another disk can take its place, in microseconds.
+const REPLACE_ABSENT_AFTER: Time = 4 * SECOND;
+/// A disk that asked to be a member of the configuration's shard is a candidate for so long, in microseconds.
+const CANDIDATE_TIMEOUT: Time = 3 * ANNOUNCE_INTERVAL;
+/// A member that lacks fewer entries than this counts as up to date: the leader appends more meanwhile.
+const UP_TO_DATE_ENTRIES: u64 = 64;
+/// How long the report of a replica set may take, in microseconds; it is repeated until the topology shows it.
+const REPORT_TIMEOUT: Time = SECOND / 2;
+
+/// A disk of a gateway that asked to be a member of the configuration's shard.
+pub(crate) struct JoinCandidate {
+    /// The disk, as a member.
+    pub member: Member,
+    /// When it last asked, by the steady clock in microseconds.
+    pub asked_at: Time,
+}
 
-/// Who has not been there for so long loses a seat, if another one can have it.
-const ABSENT: Time = 4 * SECOND;
-/// Who has not been there for so long is fenced, where its group cannot decide without and another store could have its seat.
-const FENCE_ABSENT: Time = SECOND;
-/// The wait for more stores than are needed at least, before the parts are founded.
-const GATHER: Time = 3 * SECOND;
-/// Entries that a member may lack and still count as one that holds all: the leader goes on meanwhile.
-const NEARLY_ALL: u64 = 64;
+/// A store in the topology.
+struct ListedStore {
+    member: Member,
+    is_retiring: bool,
+}
 
-/// What disks have in the groups that are founded so far.
-#[derive(Default)]
-struct Founded {
-    seats: BTreeMap<MemberId, usize>,
-    /// Of those the first seats: who has one is the first to stand for election.
-    first_seats: BTreeMap<MemberId, usize>,
+/// These members without one of them.
+fn without(members: &[Member], removed: &Member) -> Vec<Member> {
+    members.iter().filter(|member| member.id != removed.id).cloned().collect()
 }
 
-impl Founded {
-    fn add(&mut self, group: &[Member]) {
-        if let Some(first) = group.first() {
-            *self.first_seats.entry(first.id).or_default() += 1;
-        }
-        for member in group {
-            *self.seats.entry(member.id).or_default() += 1;
-        }
-    }
+/// These members and one more, which comes last.
+fn with(members: &[Member], added: Member) -> Vec<Member> {
+    members.iter().cloned().chain([added]).collect()
+}
 
-    /// The first group of another part: zones in turn, in each of them who has the fewest seats. Equals are taken in an order that
-    /// is turned by the part's number. The first seat goes to who has the fewest of these.
-    fn next_replica_set(&self, stores: &[Member], number: u16, target: usize) -> Vec<Member> {
-        let count = |counts: &BTreeMap<MemberId, usize>, m: &Member| counts.get(&m.id).copied().unwrap_or(0);
-        let turned: Vec<&Member> =
-            (0..stores.len()).map(|i| &stores[(i + usize::from(number)) % stores.len()]).collect();
-        let mut group: Vec<Member> = Vec::new();
-        while group.len() < target.min(stores.len()) {
-            let crowd = |zone: &str| group.iter().filter(|m| m.zone == zone).count();
-            let free = turned.iter().filter(|m| group.iter().all(|g| g.id != m.id));
-            let next = free.min_by_key(|m| (crowd(&m.zone), count(&self.seats, m)));
-            let Some(next) = next.map(|m| Member::clone(m)) else { break };
-            group.push(next);
-        }
-        let first = (0..group.len()).min_by_key(|place| count(&self.first_seats, &group[*place]));
-        if let Some(first) = first {
-            group.swap(0, first);
-        }
-        group
-    }
+fn contains(members: &[Member], disk: &Member) -> bool {
+    members.iter().any(|member| member.id == disk.id)
 }
 
 impl Coordinator {
-    fn is_absent(&self, at: &SocketAddr) -> bool {
-        self.absence(at) > ABSENT
+    fn is_absent(&self, address: &SocketAddr) -> bool {
+        self.absence(address) > REPLACE_ABSENT_AFTER
     }
 
-    /// How long it has not been there; 0 where it is.
-    fn absence(&self, at: &SocketAddr) -> Time {
-        if *at == self.info.peer_address || self.live_peers.contains_key(at) {
+    /// How long the process at this address has been absent, in microseconds; 0 where it is alive.
+    pub(crate) fn absence(&self, address: &SocketAddr) -> Time {
+        if *address == self.info.peer_address || self.live_peers.contains_key(address) {
             return 0;
         }
-        self.now.steady - self.absent_since.get(at).copied().unwrap_or(self.started_at)
+        self.now.steady - self.absent_since.get(address).copied().unwrap_or(self.started_at)
     }
 
-    /// Where a member of a part's group would best be replaced by, or joined by, one of those: in a zone that has the fewest of
-    /// the others; there, who has the fewest seats over all parts of batch jobs.
+    /// The candidate that would best join the other members of a shard: in a zone with the fewest of them; there, the one with
+    /// the fewest replicas of batch-job shards.
     fn best_candidate<'a>(
         &self,
         number: u16,
         others: &[Member],
-        from: impl Iterator<Item = &'a Member>,
+        candidates: impl Iterator<Item = &'a Member>,
     ) -> Option<Member> {
-        let crowd = |zone: &str| others.iter().filter(|m| m.zone == zone).count();
-        // Leaders of several parts that look for a seat at once do not all find the same store.
-        let turn = |m: &Member| xxh3_64_with_seed(&m.id.to_le_bytes(), u64::from(number));
-        from.min_by_key(|m| (crowd(&m.zone), self.topology.replica_count(m.id), turn(m))).cloned()
+        let members_in = |zone: &str| others.iter().filter(|member| member.zone == zone).count();
+        // Leaders of several shards that look for a store at once do not all find the same one.
+        let tie_break = |disk: &Member| xxh3_64_with_seed(&disk.id.to_le_bytes(), u64::from(number));
+        let rank =
+            |disk: &&Member| (members_in(&disk.zone), self.topology.replica_count(disk.id), tie_break(disk));
+        candidates.min_by_key(rank).cloned()
     }
 
-    /// The seats of the configuration's group.
+    /// Chooses the members of the configuration's shard, whose leader this is.
     pub(crate) fn place_configuration_members(&mut self) {
         let now = self.now.steady;
-        self.join_candidates.retain(|_, (_, heard)| now - *heard < 3 * ANNOUNCE);
-        let target = self.info.target_members();
+        self.join_candidates.retain(|_, candidate| now - candidate.asked_at < CANDIDATE_TIMEOUT);
         let Some(shard) = self.shards.get(&CONTROL) else { return };
-        let (members, settled) = (shard.replica.members(), shard.replica.is_replica_set_committed());
-        if !settled {
+        if !shard.replica.is_replica_set_committed() {
             return;
         }
-        let members = members.to_vec();
-        let fresh: Vec<Member> = self
-            .join_candidates
-            .values()
-            .map(|(m, _)| m)
-            .filter(|m| members.iter().all(|s| s.id != m.id))
-            .cloned()
-            .collect();
-        let without =
-            |out: &Member| -> Vec<Member> { members.iter().filter(|m| m.id != out.id).cloned().collect() };
-        // The same machine with another disk; then who is gone; then free seats.
-        let same = fresh
-            .iter()
-            .find_map(|f| members.iter().find(|m| m.address == f.address).map(|m| (m.clone(), f.clone())));
-        let gone = members.iter().find(|m| self.is_absent(&m.address)).cloned();
-        let next = if let Some((old, new)) = same {
-            Some([without(&old), vec![new]].concat())
-        } else if let Some(old) = gone {
-            let rest = without(&old);
-            self.best_candidate(CONTROL, &rest, fresh.iter().filter(|f| !self.is_absent(&f.address)))
-                .map(|new| [rest, vec![new]].concat())
-        } else if members.len() < target {
-            self.best_candidate(CONTROL, &members, fresh.iter())
-                .map(|new| [members.clone(), vec![new]].concat())
-        } else {
-            None
-        };
-        if let Some(next) = next {
+        let members = shard.replica.members().to_vec();
+        if let Some(next) = self.next_configuration_members(&members) {
             self.change_replica_set(CONTROL, next);
         }
     }
 
-    fn change_replica_set(&mut self, number: u16, next: Vec<Member>) {
-        let Some(shard) = self.shards.get_mut(&number) else { return };
-        if shard.replica.change_replica_set(self.now.steady, next.clone()).is_ok() {
-            let names: Vec<String> = next.iter().map(|m| format!("{}@{}", m.name, m.address)).collect();
-            self.effects.push(Effect::Log("seats", format!("part {number}: {}", names.join(" "))));
-            self.drain(number);
-        }
-    }
-
-    /// The first groups of the parts of batch jobs.
-    pub(crate) fn create_shards(&mut self) {
-        let now = self.now.steady;
-        let (least, target) = (self.info.min_members(), self.info.target_members());
-        let Some(control) = self.shards.get(&CONTROL).and_then(|p| p.control()) else { return };
-        let stores: Vec<Member> =
-            control.stores.values().filter(|s| !s.is_retiring()).map(|s| s.member.clone()).collect();
-        let missing: Vec<u16> = (1..=BATCH_SHARDS).filter(|n| !control.groups.contains_key(n)).collect();
-        if missing.is_empty() || stores.len() < least {
-            return;
-        }
-        let since = *self.enough_stores_since.get_or_insert(now);
-        if stores.len() < target && now - since < GATHER {
-            return;
-        }
-        let mut founded = Founded::default();
-        control.groups.values().for_each(|group| founded.add(&group.members));
-        for number in missing {
-            let group = founded.next_replica_set(&stores, number, target);
-            founded.add(&group);
-            self.propose_maintenance(Change::founded(number, &group));
-        }
-    }
-
-    fn propose_maintenance(&mut self, change: Change) {
-        self.nonce += 1;
-        let nonce = self.nonce;
-        // Its own nonce is nobody's: whether it took effect is seen in the state.
-        self.propose(CONTROL, Origin::Own(nonce), join(&change, &[]));
-    }
-
-    /// Parts that were founded with this store among them, and that it does not have, begin here.
-    pub(crate) fn open_founded_shards(&mut self) {
-        let Some(me) = self.me().filter(|_| !self.info.role.is_gateway()) else { return };
-        for group in self.topology.replica_sets.clone() {
-            if self.shards.contains_key(&group.shard) || !group.founding.iter().any(|s| s.id == me.id) {
-                continue;
-            }
-            if let Ok(founding) = decode_members(&group.founding) {
-                let _ = self.open(group.shard, founding, &[]);
-            }
+    /// The next members of the configuration's shard, where they are to change: first a machine that came back with another disk
+    /// replaces its old one, then an absent member is replaced, then members are added up to the target.
+    fn next_configuration_members(&self, members: &[Member]) -> Option<Vec<Member>> {
+        let candidates = self.join_candidates.values().map(|candidate| &candidate.member);
+        let new: Vec<&Member> = candidates.filter(|candidate| !contains(members, candidate)).collect();
+        let same_machine = new.iter().find_map(|candidate| {
+            let old = members.iter().find(|member| member.address == candidate.address)?;
+            Some((old, Member::clone(candidate)))
+        });
+        if let Some((old, new)) = same_machine {
+            return Some(with(&without(members, old), new));
         }
-    }
-
-    /// Fences disks whose absence leaves a group of batch jobs without a majority, where another store could have the seat. That a
-    /// fenced one may only be cut off does no harm: it takes a new identity when it hears of it.
-    pub(crate) fn fence_absent_disks(&mut self) {
-        let Some(control) = self.shards.get(&CONTROL).and_then(|p| p.control()) else { return };
-        let mut fences: Vec<MemberId> = Vec::new();
-        for group in control.groups.values() {
-            let absent = |m: &&Member| self.absence(&m.address) > FENCE_ABSENT;
-            let gone: Vec<&Member> = group.members.iter().filter(absent).collect();
-            let half = group.members.len() / 2;
-            let decides = group.members.len() - gone.len() > half;
-            let is_tied = group.members.len().is_multiple_of(2) && gone.len() == half;
-            let could_have_the_seat = control.stores.values().any(|s| {
-                !s.is_retiring()
-                    && !control.is_fenced(s.member.id)
-                    && self.live_peers.contains_key(&s.member.address)
-                    && group.members.iter().all(|m| m.id != s.member.id)
-            });
-            if !decides && is_tied && could_have_the_seat {
-                fences.extend(gone.iter().map(|m| m.id).filter(|disk| !control.is_fenced(*disk)));
-            }
+        if let Some(absent) = members.iter().find(|member| self.is_absent(&member.address)) {
+            let rest = without(members, absent);
+            let live = new.into_iter().filter(|candidate| !self.is_absent(&candidate.address));
+            return Some(with(&rest, self.best_candidate(CONTROL, &rest, live)?));
         }
-        for disk in fences {
-            self.effects.push(Effect::Log("fence", format!("disk {disk:x}")));
-            self.propose_maintenance(Change::Fence { disk });
+        if members.len() < self.info.target_members() {
+            return Some(with(members, self.best_candidate(CONTROL, members, new.into_iter())?));
         }
+        None
     }
 
-    /// All replicas of batch jobs here learn which disks are fenced.
-    pub(crate) fn apply_fences(&mut self) {
-        for number in 1..=BATCH_SHARDS {
-            if let Some(shard) = self.shards.get_mut(&number) {
-                shard.replica.fence(self.now.steady, self.topology.fenced.iter().copied());
-                self.drain(number);
-            }
+    fn change_replica_set(&mut self, number: u16, next: Vec<Member>) {
+        let Some(shard) = self.shards.get_mut(&number) else { return };
+        if shard.replica.change_replica_set(self.now.steady, next.clone()).is_ok() {
+            let names: Vec<String> = next.iter().map(|m| format!("{}@{}", m.name, m.address)).collect();
+            self.effects.push(Effect::Log("replica set", format!("shard {number}: {}", names.join(" "))));
+            self.drain(number);
         }
     }
 
-    /// A store whose disk was fenced and has no seat any more is a store with a new disk from now on.
-    pub(crate) fn replace_fenced_disk_identity(&mut self) {
-        let Some(disk) =
-            self.info.disk.filter(|disk| !self.info.role.is_gateway() && self.topology.is_fenced(*disk))
-        else {
-            return;
-        };
-        let has_seat = |number: u16| {
-            let group = self.topology.replica_set(number);
-            group.is_none_or(|group| group.members.iter().any(|seat| seat.id == disk))
-        };
-        if (1..=BATCH_SHARDS).any(has_seat) {
+    /// Chooses the members of a batch-job shard whose leader this is, or reports them where they stay.
+    pub(crate) fn place_store_members(&mut self, number: u16) {
+        let Some(shard) = self.shards.get(&number) else { return };
+        if !shard.replica.is_replica_set_committed()
+            || self.gossip.document(gossip::TOPOLOGY).is_none()
+            || !matches!(shard.machine, Machine::BatchJobs(_))
+        {
             return;
         }
-        self.replace_disk_identity(disk);
-    }
-
-    /// The store is one with an empty disk from now on.
-    fn replace_disk_identity(&mut self, disk: MemberId) {
-        self.shards.clear();
-        let new: MemberId = self.rng.random::<u64>().max(1);
-        self.info.disk = Some(new);
-        self.effects.push(Effect::Log("fenced", format!("disk {disk:x} is {new:x} from now on")));
-        self.effects.push(Effect::Renew { disk: new });
-    }
-
-    /// What the disk holds of a part cannot be read, so this process must neither serve nor vote by it. A store counts its disk as
-    /// lost and is filled again; a member of the configuration's part takes no part in it until it is replaced.
-    pub(crate) fn discard_disk(&mut self, number: u16) {
-        if number == CONTROL {
-            self.shards.remove(&CONTROL);
-            self.info.disk = None;
-        } else if let Some(disk) = self.info.disk {
-            self.replace_disk_identity(disk);
+        let members = shard.replica.members().to_vec();
+        match self.next_store_members(number, &members) {
+            Some(next) => self.change_replica_set(number, next),
+            None => self.report_replica_set(number, &members),
         }
     }
 
-    /// The seats of a part of batch jobs whose elected leader this is.
-    fn next_replica_set(&self, number: u16, members: &[Member]) -> Option<Vec<Member>> {
-        let listed: Vec<(Member, bool)> = self
-            .topology
-            .stores
-            .iter()
-            .filter_map(|s| Some((s.member.member().ok()?, s.is_retiring())))
-            .collect();
-        let is_listed = |m: &Member| listed.iter().any(|(l, _)| l.id == m.id);
-        let is_retiring = |m: &Member| listed.iter().any(|(l, retiring)| l.id == m.id && *retiring);
-        let could_join = |(store, retiring): &&(Member, bool)| {
-            !retiring
-                && !self.topology.is_fenced(store.id)
-                && members.iter().all(|m| m.id != store.id)
-                && self.live_peers.contains_key(&store.address)
+    fn listed_stores(&self) -> Vec<ListedStore> {
+        let stores = self.topology.stores.iter();
+        let listed = stores.filter_map(|store| {
+            Some(ListedStore { member: store.member.member().ok()?, is_retiring: store.is_retiring() })
+        });
+        listed.collect()
+    }
+
+    /// The next members of a batch-job shard, where they are to change. The first to be replaced are those that hold nothing any
+    /// more (fenced or unlisted), then those that retire, then those that are absent and may come back.
+    fn next_store_members(&self, number: u16, members: &[Member]) -> Option<Vec<Member>> {
+        let listed = self.listed_stores();
+        let is_listed = |m: &Member| listed.iter().any(|store| store.member.id == m.id);
+        let is_retiring =
+            |m: &Member| listed.iter().any(|store| store.member.id == m.id && store.is_retiring);
+        let is_fenced = |m: &Member| self.topology.is_fenced(m.id);
+        let could_join = |store: &&ListedStore| {
+            !store.is_retiring
+                && !is_fenced(&store.member)
+                && !contains(members, &store.member)
+                && self.live_peers.contains_key(&store.member.address)
         };
-        let may_leave = |m: &Member| is_retiring(m) || self.topology.is_fenced(m.id);
-        let spare: Vec<&Member> = listed.iter().filter(could_join).map(|(store, _)| store).collect();
-        // First those that hold nothing any more, then those that are to go, then those that may come back.
-        let lost = members.iter().find(|m| self.topology.is_fenced(m.id) || !is_listed(m));
-        let leaving = members.iter().find(|m| is_retiring(m));
-        let gone = members.iter().find(|m| self.is_absent(&m.address));
-        match lost.or(leaving).or(gone) {
-            Some(out) => {
-                let rest: Vec<Member> = members.iter().filter(|m| m.id != out.id).cloned().collect();
-                match self.best_candidate(number, &rest, spare.iter().copied()) {
-                    Some(new) => Some([rest, vec![new]].concat()),
-                    // Nobody can have its seat. A fenced one gives it up too, and comes back as a new disk.
-                    None if may_leave(out) && rest.len() >= self.info.min_members() => Some(rest),
-                    None => None,
+        let candidates = listed.iter().filter(could_join).map(|store| &store.member);
+        let lost = members.iter().find(|m| is_fenced(m) || !is_listed(m));
+        let retiring = members.iter().find(|m| is_retiring(m));
+        let absent = members.iter().find(|m| self.is_absent(&m.address));
+        if let Some(replaced) = lost.or(retiring).or(absent) {
+            let rest = without(members, replaced);
+            return match self.best_candidate(number, &rest, candidates) {
+                Some(new) => Some(with(&rest, new)),
+                // No store can take its place. A retiring or fenced one leaves nevertheless; a fenced one comes back as a new disk.
+                None => {
+                    let may_leave = is_retiring(replaced) || is_fenced(replaced);
+                    (may_leave && rest.len() >= self.info.min_members()).then_some(rest)
                 }
-            }
-            None if members.len() < self.info.target_members() => {
-                let new = self.best_candidate(number, members, spare.iter().copied())?;
-                Some([members.to_vec(), vec![new]].concat())
-            }
-            None => None,
+            };
         }
+        if members.len() < self.info.target_members() {
+            return Some(with(members, self.best_candidate(number, members, candidates)?));
+        }
+        None
     }
 
-    pub(crate) fn place_store_members(&mut self, number: u16) {
+    /// Reports a committed replica set to the configuration's shard, unless the topology shows it already: once the old members
+    /// are not needed any more and all live members are up to date.
+    fn report_replica_set(&mut self, number: u16, members: &[Member]) {
         let Some(shard) = self.shards.get(&number) else { return };
-        let (members, settled) = (shard.replica.members(), shard.replica.is_replica_set_committed());
-        if !settled
-            || self.gossip.document(gossip::TOPOLOGY).is_none()
-            || !matches!(shard.machine, Machine::BatchJobs(_))
-        {
+        if !shard.led || !shard.replica.is_replica_set_durable() {
             return;
         }
-        let members = members.to_vec();
-        match self.next_replica_set(number, &members) {
-            Some(next) => self.change_replica_set(number, next),
-            None => self.publish_replica_set(number, &members),
-        }
-    }
-
-    /// Tells the configuration's part of the group as it stands, once it has been handed over and all that live hold nearly all.
-    fn publish_replica_set(&mut self, number: u16, group: &[Member]) {
-        let Some(shard) = self.shards.get(&number).filter(|p| p.led && p.replica.is_replica_set_durable())
-        else {
-            return;
-        };
         let (term, index) = (shard.replica.term(), shard.replica.replica_set_index());
-        let behind = shard.replica.replication_lag();
-        let holds_all = |m: &Member| {
-            m.address == self.info.peer_address
-                || behind.iter().any(|lag| lag.member == m.id && lag.entries < NEARLY_ALL)
-                || self.is_absent(&m.address)
+        let lags = shard.replica.replication_lag();
+        let is_up_to_date = |member: &Member| {
+            member.address == self.info.peer_address
+                || lags.iter().any(|lag| lag.member == member.id && lag.entries < UP_TO_DATE_ENTRIES)
+                || self.is_absent(&member.address)
         };
         let retirements = self.topology.retirements;
-        let is_known = self.topology.replica_set(number).is_some_and(|told| {
-            let same = told.members.iter().map(|s| s.id).eq(group.iter().map(|m| m.id));
-            same && told.retirements == retirements && told.index >= index
+        let is_known = self.topology.replica_set(number).is_some_and(|known| {
+            let same = known.members.iter().map(|record| record.id).eq(members.iter().map(|m| m.id));
+            same && known.retirements == retirements && known.index >= index
         });
-        if is_known || !group.iter().all(holds_all) {
+        if is_known || !members.iter().all(is_up_to_date) {
             return;
         }
-        let seats: Vec<MemberRecord> = group.iter().map(MemberRecord::from).collect();
+        let seats = encode_members(members);
         let count = seats.len() as u16;
         let request = Request::Seated { shard: number, term, index, retirements, count, seats };
-        self.ask(CONTROL, &request, Bytes::new(), Goal::Nobody, SECOND / 2, 0, 503);
+        self.ask(CONTROL, &request, Bytes::new(), Goal::Nobody, REPORT_TIMEOUT, 0, 503);
     }
 }
--- a/crates/coordinator/src/serving.rs
+++ b/crates/coordinator/src/serving.rs
@@ -8,6 +8,7 @@
 
 use crate::control::{Change, Store};
 use crate::frame::{Request, Text, join};
+use crate::replica_placement::JoinCandidate;
 use crate::shard::Wanted;
 use crate::{Answer, CONTROL, Coordinator, Origin};
 
@@ -34,7 +35,8 @@
             }
             (CONTROL, Request::Join { seat }) => {
                 if let Ok(member) = seat.member() {
-                    self.join_candidates.insert(member.id, (member, self.now.steady));
+                    self.join_candidates
+                        .insert(member.id, JoinCandidate { member, asked_at: self.now.steady });
                 }
                 self.reply(origin, Answer::of(200));
             }
--- a/crates/coordinator/tests/operators/worker_stories.rs
+++ b/crates/coordinator/tests/operators/worker_stories.rs
@@ -149,7 +149,7 @@
             worker.heartbeat(&mut fleet, "ready");
         });
         for at in 0..fleet.machines.len() {
-            let silent = fleet.machines[at].log.iter().filter(|line| line.contains("silent: w1")).count();
+            let silent = fleet.machines[at].log.iter().filter(|line| line.contains("worker unresponsive: w1")).count();
             assert_eq!(silent, 0, "seed {seed}: machine {at}");
             assert_eq!(fleet.machines[at].workers["w1"].phase, Phase::Ready, "seed {seed}: machine {at}");
         }
@@ -174,7 +174,7 @@
         fleet.heal();
         fleet.pass(2.0);
         for machine in &fleet.machines {
-            assert!(!machine.log.iter().any(|line| line.contains("silent: w1")), "seed {seed}");
+            assert!(!machine.log.iter().any(|line| line.contains("worker unresponsive: w1")), "seed {seed}");
             assert_eq!(machine.workers["w1"].phase, Phase::Ready, "seed {seed}: {}", machine.name);
         }
     }
--- a/crates/coordinator/tests/vacating.rs
+++ b/crates/coordinator/tests/vacating.rs
@@ -170,7 +170,7 @@
         fleet.pass(3.0);
     }
     fleet.pass(10.0);
-    let vacated = |at: usize| fleet.machines[at].log.iter().filter(|line| line.contains("vacated")).count();
+    let vacated = |at: usize| fleet.machines[at].log.iter().filter(|line| line.contains("tombstone")).count();
     assert_eq!(STORES.map(vacated).sum::<usize>(), 0);
     assert!((1..=BATCH_SHARDS).all(|shard| fleet.leader(shard).is_some()));
 }
