--- a/crates/coordinator/src/disk_fencing.rs
+++ b/crates/coordinator/src/disk_fencing.rs
@@ -39,7 +39,7 @@
         control.stores.values().any(|store| {
             !store.is_retiring()
                 && !control.is_fenced(store.member.id)
-                && self.live_peers.contains_key(&store.member.address)
+                && self.peers.live.contains_key(&store.member.address)
                 && members.iter().all(|member| member.id != store.member.id)
         })
     }
@@ -49,7 +49,7 @@
         for number in 1..=BATCH_SHARDS {
             if let Some(shard) = self.shards.get_mut(&number) {
                 shard.replica.fence(self.now.steady, self.topology.fenced.iter().copied());
-                self.drain(number);
+                self.process_output(number);
             }
         }
     }
@@ -76,7 +76,7 @@
         self.info.disk = Some(new);
         let details = format!("disk {disk:x} is {new:x} from now on");
         self.effects.push(Effect::Log("disk identity", details));
-        self.effects.push(Effect::Renew { disk: new });
+        self.effects.push(Effect::ReplaceDiskIdentity { disk: new });
     }
 
     /// What the disk holds of a shard cannot be read, so this process must neither serve nor vote by it. A store counts its disk
--- a/crates/coordinator/src/lost_membership.rs
+++ b/crates/coordinator/src/lost_membership.rs
@@ -16,7 +16,7 @@
 
 use rainlug::{SECOND, Time};
 
-use crate::shard::Machine;
+use crate::shard::StateMachine;
 use crate::{BATCH_SHARDS, Coordinator, Effect};
 
 /// How long no leader must have been heard from, in microseconds: longer than the elections, starts and partitions after which a
@@ -57,9 +57,9 @@
         }
         shard.lost_membership_since = None;
         shard.restoring = None;
-        shard.compact_wanted = false;
-        (shard.machine, shard.quota_ledger) = (Machine::empty(number), Default::default());
+        shard.is_snapshot_wanted = false;
+        (shard.state_machine, shard.quota_ledger) = (StateMachine::empty(number), Default::default());
         self.effects.push(Effect::Log("tombstone", format!("shard {number}: another store took the place")));
-        self.drain(number);
+        self.process_output(number);
     }
 }
--- a/crates/coordinator/src/maintenance.rs
+++ b/crates/coordinator/src/maintenance.rs
@@ -3,16 +3,17 @@
 
 use std::collections::BTreeSet;
 
-use bytes::Bytes;
 use rainlug::{SECOND, Time};
 use rainlug_registry::{Phase, Worker};
 
-use crate::calls::Goal;
+use crate::calls::CallRequest;
 use crate::frame::{MemberRecord, Request};
-use crate::{BATCH_SHARDS, CONTROL, Coordinator, Effect, MISSED_HEARTBEATS};
+use crate::{BATCH_SHARDS, CONTROL, Coordinator, Effect};
 
 /// Between two announcements of a process's disk, in microseconds.
 pub(crate) const ANNOUNCE_INTERVAL: Time = SECOND;
+/// Heartbeats that may be missing before a worker counts as unresponsive; the fraction leaves room for one that is late.
+const MAX_MISSED_HEARTBEATS: f64 = 3.2;
 
 impl Coordinator {
     /// Runs all of it once, several times a second. The order is part of the behaviour: each step sees what those before it did.
@@ -20,12 +21,12 @@
         self.mark_unresponsive_workers();
         self.diagnose();
         self.check_memory();
-        if self.announce_at <= self.now.steady {
-            self.announce_at = self.now.steady + ANNOUNCE_INTERVAL;
+        if self.maintenance.announce_at <= self.now.steady {
+            self.maintenance.announce_at = self.now.steady + ANNOUNCE_INTERVAL;
             self.announce();
         }
-        if self.shards.get(&CONTROL).is_some_and(|shard| shard.led) {
-            self.post();
+        if self.shards.get(&CONTROL).is_some_and(|shard| shard.is_leader) {
+            self.publish_control_state();
             self.place_configuration_members();
             self.create_shards();
             self.fence_absent_disks();
@@ -36,7 +37,7 @@
             }
         }
         self.tombstone_lost_memberships();
-        self.watch_routes();
+        self.track_routes();
     }
 
     /// Publishes workers as unresponsive whose heartbeats this process is the registrar for, and that miss several of them.
@@ -50,7 +51,7 @@
             self.heartbeats.clear();
             return;
         }
-        let timeout = (self.info.heartbeat_interval as f64 * MISSED_HEARTBEATS) as Time;
+        let timeout = (self.info.heartbeat_interval as f64 * MAX_MISSED_HEARTBEATS) as Time;
         let mut unresponsive: Vec<Worker> = Vec::new();
         let mut registered = BTreeSet::new();
         for worker in self.gossip.workers().filter(|worker| worker.phase == Phase::Ready) {
@@ -78,19 +79,19 @@
     /// Asks for membership in the configuration's shard (a gateway's disk), or to be listed as a store, until the topology shows
     /// it.
     fn announce(&mut self) {
-        let Some(me) = self.me() else { return };
-        let seat = MemberRecord::from(&me);
+        let Some(me) = self.own_member() else { return };
+        let member = MemberRecord::from(&me);
         let request = if self.info.role.is_gateway() {
-            if self.topology.configuration_members.iter().any(|member| member.id == me.id) {
+            if self.topology.configuration_members.iter().any(|known| known.id == me.id) {
                 return;
             }
-            Request::Join { seat }
+            Request::Join { member }
         } else {
-            if self.topology.stores.iter().any(|store| store.member == seat) {
+            if self.topology.stores.iter().any(|store| store.member == member) {
                 return;
             }
-            Request::Shelve { seat }
+            Request::RegisterStore { member }
         };
-        self.ask(CONTROL, &request, Bytes::new(), Goal::Nobody, ANNOUNCE_INTERVAL, 0, 503);
+        self.call_shard(CallRequest::internal(CONTROL, &request, ANNOUNCE_INTERVAL));
     }
 }
--- a/crates/coordinator/src/replica_placement.rs
+++ b/crates/coordinator/src/replica_placement.rs
@@ -6,16 +6,15 @@
 
 use std::net::SocketAddr;
 
-use bytes::Bytes;
 use rainlug::{SECOND, Time};
 use rainlug_consensus::Member;
 use rainlug_registry::gossip;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::calls::Goal;
+use crate::calls::CallRequest;
 use crate::frame::Request;
 use crate::maintenance::ANNOUNCE_INTERVAL;
-use crate::shard::Machine;
+use crate::shard::StateMachine;
 use crate::topology::encode_members;
 use crate::{CONTROL, Coordinator, Effect};
 
@@ -63,10 +62,10 @@
 
     /// How long the process at this address has been absent, in microseconds; 0 where it is alive.
     pub(crate) fn absence(&self, address: &SocketAddr) -> Time {
-        if *address == self.info.peer_address || self.live_peers.contains_key(address) {
+        if *address == self.info.peer_address || self.peers.live.contains_key(address) {
             return 0;
         }
-        self.now.steady - self.absent_since.get(address).copied().unwrap_or(self.started_at)
+        self.now.steady - self.peers.absent_since.get(address).copied().unwrap_or(self.contact.started_at)
     }
 
     /// The candidate that would best join the other members of a shard: in a zone with the fewest of them; there, the one with
@@ -127,7 +126,7 @@
         if shard.replica.change_replica_set(self.now.steady, next.clone()).is_ok() {
             let names: Vec<String> = next.iter().map(|m| format!("{}@{}", m.name, m.address)).collect();
             self.effects.push(Effect::Log("replica set", format!("shard {number}: {}", names.join(" "))));
-            self.drain(number);
+            self.process_output(number);
         }
     }
 
@@ -136,7 +135,7 @@
         let Some(shard) = self.shards.get(&number) else { return };
         if !shard.replica.is_replica_set_committed()
             || self.gossip.document(gossip::TOPOLOGY).is_none()
-            || !matches!(shard.machine, Machine::BatchJobs(_))
+            || !matches!(shard.state_machine, StateMachine::BatchJobs(_))
         {
             return;
         }
@@ -150,7 +149,7 @@
     fn listed_stores(&self) -> Vec<ListedStore> {
         let stores = self.topology.stores.iter();
         let listed = stores.filter_map(|store| {
-            Some(ListedStore { member: store.member.member().ok()?, is_retiring: store.is_retiring() })
+            Some(ListedStore { member: store.member.to_member().ok()?, is_retiring: store.is_retiring() })
         });
         listed.collect()
     }
@@ -167,7 +166,7 @@
             !store.is_retiring
                 && !is_fenced(&store.member)
                 && !contains(members, &store.member)
-                && self.live_peers.contains_key(&store.member.address)
+                && self.peers.live.contains_key(&store.member.address)
         };
         let candidates = listed.iter().filter(could_join).map(|store| &store.member);
         let lost = members.iter().find(|m| is_fenced(m) || !is_listed(m));
@@ -194,7 +193,7 @@
     /// are not needed any more and all live members are up to date.
     fn report_replica_set(&mut self, number: u16, members: &[Member]) {
         let Some(shard) = self.shards.get(&number) else { return };
-        if !shard.led || !shard.replica.is_replica_set_durable() {
+        if !shard.is_leader || !shard.replica.is_replica_set_durable() {
             return;
         }
         let (term, index) = (shard.replica.term(), shard.replica.replica_set_index());
@@ -212,9 +211,10 @@
         if is_known || !members.iter().all(is_up_to_date) {
             return;
         }
-        let seats = encode_members(members);
-        let count = seats.len() as u16;
-        let request = Request::Seated { shard: number, term, index, retirements, count, seats };
-        self.ask(CONTROL, &request, Bytes::new(), Goal::Nobody, REPORT_TIMEOUT, 0, 503);
+        let members = encode_members(members);
+        let member_count = members.len() as u16;
+        let request =
+            Request::ReportReplicaSet { shard: number, term, index, retirements, member_count, members };
+        self.call_shard(CallRequest::internal(CONTROL, &request, REPORT_TIMEOUT));
     }
 }
--- a/crates/coordinator/src/shard_founding.rs
+++ b/crates/coordinator/src/shard_founding.rs
@@ -67,7 +67,7 @@
         if missing.is_empty() || stores.len() < min {
             return;
         }
-        let since = *self.enough_stores_since.get_or_insert(now);
+        let since = *self.maintenance.enough_stores_since.get_or_insert(now);
         if stores.len() < target && now - since < GATHERING_TIMEOUT {
             return;
         }
@@ -82,21 +82,20 @@
 
     /// Proposes a change of the configuration's shard on this process's own account.
     pub(crate) fn propose_maintenance(&mut self, change: Change) {
-        self.nonce += 1;
-        let nonce = self.nonce;
+        let nonce = self.calls.next_nonce();
         // No call waits for this nonce: whether the change took effect is seen in the state.
         self.propose(CONTROL, Origin::Own(nonce), join(&change, &[]));
     }
 
     /// Opens the replicas of shards that were founded with this store's disk, where it has none yet.
     pub(crate) fn open_founded_shards(&mut self) {
-        let Some(me) = self.me().filter(|_| !self.info.role.is_gateway()) else { return };
+        let Some(me) = self.own_member().filter(|_| !self.info.role.is_gateway()) else { return };
         for set in self.topology.replica_sets.clone() {
             if self.shards.contains_key(&set.shard) || !set.has_founder(me.id) {
                 continue;
             }
             if let Ok(founding) = decode_members(&set.founding) {
-                let _ = self.open(set.shard, founding, &[]);
+                let _ = self.open_shard(set.shard, founding, &[]);
             }
         }
     }
