--- a/crates/tier/src/process_memory.rs
+++ b/crates/tier/src/process_memory.rs
@@ -1,27 +1,27 @@
-//! The memory of a process, as the system counts it.
+//! The memory of a process, as the kernel counts it in `/proc/PID/status`.
 
-/// What of a process's memory is asked for.
+/// Which count of a process's memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Figure {
-    /// The most that it has had at once.
+pub enum MemoryMetric {
+    /// The largest resident set since the process began.
     Peak,
-    /// What it has now.
-    Used,
+    /// The resident set now.
+    Resident,
 }
 
-impl Figure {
-    /// What its line begins with.
+impl MemoryMetric {
+    /// The label of its line.
     fn label(self) -> &'static str {
         match self {
-            Figure::Peak => "VmHWM:",
-            Figure::Used => "VmRSS:",
+            MemoryMetric::Peak => "VmHWM:",
+            MemoryMetric::Resident => "VmRSS:",
         }
     }
 }
 
-/// A figure in KiB; nothing where the system does not tell. `process` is an id, or `self`.
-pub fn kibibytes(process: &str, figure: Figure) -> Option<u64> {
+/// A count of a process's memory in KiB; `None` where the system does not say. `process` is a process id, or `self`.
+pub fn read_kibibytes(process: &str, metric: MemoryMetric) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
-    let rest = status.lines().find_map(|line| line.strip_prefix(figure.label()))?;
-    rest.trim().strip_suffix("kB")?.trim().parse().ok()
+    let value = status.lines().find_map(|line| line.strip_prefix(metric.label()))?;
+    value.trim().strip_suffix("kB")?.trim().parse().ok()
 }
