--- a/crates/consensus/tests/bounded_steps.rs
+++ b/crates/consensus/tests/bounded_steps.rs
@@ -1,5 +1,5 @@
-//! No step of a replica grows with the state: a long log is applied in bounded parts between messages and signs of life, and a
-//! snapshot goes piece by piece, whatever happens meanwhile.
+//! No step of a replica grows with the state: a long log is applied in bounded steps between messages and heartbeats, and a snapshot
+//! is transferred chunk by chunk, whatever happens in between.
 
 mod common;
 
@@ -31,7 +31,7 @@
     (1..=3).filter(|&id| id != leader).collect()
 }
 
-/// The records of a member of three that has saved so many entries.
+/// The records of a member of three that has persisted so many entries.
 fn long_log(entries: usize, padding: usize) -> Vec<Bytes> {
     let mut cluster = Cluster::new(1, &[1, 2, 3], wide());
     let leader = cluster.wait_for_leader();
@@ -110,7 +110,7 @@
     let mut cluster = RestartedCluster::new(&records);
     let mut leader_terms = vec![];
     while cluster.applied.iter().any(|&applied| applied < ENTRIES) && cluster.now < 20 * SECOND {
-        // Given that each part that is applied takes a tenth of the time after which a member stands.
+        // Given that each step takes a tenth of the election timeout.
         cluster.now += STEP;
         for position in 0..2 {
             cluster.step(position);
@@ -131,7 +131,7 @@
         "{:?}",
         cluster.apply_steps
     );
-    // Then who was elected first leads on: signs of life go and come while both are behind.
+    // Then who was elected first stays leader: heartbeats go both ways while both are behind.
     assert_eq!(leader_terms.len(), 1, "{leader_terms:?}");
     assert!(cluster.sent_while_behind >= 5 && cluster.received_while_behind >= 5);
     for _ in 0..3 {
@@ -152,7 +152,7 @@
         assert!(cluster.now < 10 * SECOND);
     }
     let position = cluster.replicas.iter().position(Replica::has_unapplied_entries).expect("one is behind");
-    // When it has heard no leader for long, and the other one stands.
+    // When it has had no contact to a leader for long, and the other one campaigns.
     cluster.now += SECOND;
     let now = cluster.now;
     let mut third = Replica::recover(member(3), vec![], wide(), &records, 3, now).expect("its own records");
@@ -210,7 +210,7 @@
     assert!(is_more_than_bounded(&Ready { restore, ..Ready::default() }));
 }
 
-/// A state of many pieces that tells how many of them were made.
+/// A state of many chunks that counts how many of them were encoded.
 struct CountingSource {
     chunks: usize,
     made: AtomicUsize,
@@ -240,7 +240,7 @@
     }
 }
 
-/// One that is alone in its group, and has committed some.
+/// The only member of a replica set, which has committed some commands.
 fn single_leader() -> Replica {
     let mut replica = Replica::new(member(1), members(&[1]), wide(), 1, 0);
     let mut now = 0;
@@ -272,10 +272,10 @@
     let output = replica.take_ready();
     let records = output.rewrite.expect("it is compacted").records;
     assert_eq!(state.made(), 0);
-    // When its size is asked for, which is needed first: it is told without making any.
+    // When its size is asked for, which is needed first: that encodes no chunk.
     let size = records.size();
     assert_eq!((state.made(), records.snapshot_count()), (0, 1 + CHUNKS));
-    // When it is walked over twice, as where the disk refused it: the same records, one made at a time.
+    // When the records are iterated over twice, as where the disk failed: they are the same, encoded one at a time.
     let mut walk = records.iter();
     assert!(walk.next().is_some() && walk.next().is_some());
     assert_eq!(state.made(), 1);
@@ -296,7 +296,7 @@
             if let RestoreStep::Chunk(chunk) = step {
                 assert_eq!(chunk, state.chunk(chunks));
                 let record = &one[1 + chunks];
-                assert!(record.as_ptr_range().contains(&chunk.as_ptr()), "piece {chunks} is a copy");
+                assert!(record.as_ptr_range().contains(&chunk.as_ptr()), "chunk {chunks} is a copy");
                 chunks += 1;
             }
         }
@@ -321,7 +321,7 @@
         assert!(!read(&without) && !read(&twice) && !read(&swapped), "{position}");
         assert!(!read(&whole[..position]), "{position}");
     }
-    // A snapshot in one record, as files had it earlier: index, term, length of the group, group, state.
+    // A snapshot in one record, as files had it earlier: index, term, length of the replica set, replica set, state.
     let earlier = Bytes::from([&[3][..], &[1; 8], &[1; 8], &[4, 0, 0, 0], &[0; 4], b"state"].concat());
     assert!(!read(&[earlier]));
 }
@@ -336,7 +336,7 @@
     assert!(matches!(again.take_ready().restore[..], [RestoreStep::Begin, RestoreStep::Finish(_)]));
 }
 
-/// A member that was away for so many changes gets a snapshot of many pieces over bad links, while the leader changes and
+/// A member that was away for so many changes gets a snapshot of many chunks over bad links, while the leader changes and
 /// compacts again; in the middle of it, this happens.
 fn transfer(seed: u64, what: impl Fn(&mut Cluster, MemberId, MemberId)) {
     let mut cluster =
@@ -354,7 +354,7 @@
     let begun =
         |cluster: &Cluster| cluster.traffic.get(&far).is_some_and(|traffic| traffic.snapshot_bytes > 8_000);
     assert!(cluster.run_until(20 * SECOND, begun), "seed {seed}");
-    assert!(cluster.nodes[&far].applied.is_empty(), "seed {seed}: it is under way");
+    assert!(cluster.nodes[&far].applied.is_empty(), "seed {seed}: the transfer is in progress");
     what(&mut cluster, leader, far);
     cluster.network = Network { loss: 0.0, duplication: 0.0, delay: 0.0 };
     let whole = |cluster: &Cluster| cluster.nodes[&far].applied.len() == cluster.history.len();
--- a/crates/consensus/tests/catch_up.rs
+++ b/crates/consensus/tests/catch_up.rs
@@ -14,18 +14,18 @@
 const CHANGE_INTERVAL: Time = 5 * MILLIS;
 /// Bytes of a change beside its number.
 const PADDING_BYTES: usize = 50;
-/// What a change takes on the wire: with its head, alone in a message, and with word of its commit in another one.
+/// What a change takes on the wire: with its header, alone in a message, and with its commit in another one.
 const CHANGE_WIRE_BYTES: usize = 8 + PADDING_BYTES + 13 + 2 * MESSAGE_HEADER_BYTES;
 /// What a change takes in the snapshot of the harness's state machine.
 const CHANGE_STATE_BYTES: usize = 16;
-/// What a message takes beside its entries or its piece of a snapshot, at most, where it names no group.
+/// What a message takes beside its entries or its chunk of a snapshot, at most, where it names no replica set.
 const MESSAGE_HEADER_BYTES: usize = 150;
-/// The same of a piece of a snapshot, which names a group of three.
+/// The same of a chunk of a snapshot, which names a replica set of three.
 const CHUNK_HEADER_BYTES: usize = 350;
-/// Messages with entries that are on their way to one member, at most.
+/// Messages with entries in flight to one member, at most.
 const MAX_IN_FLIGHT_MESSAGES: usize = 8;
 
-/// Entries kept for who lacks them stand to one message as they do in the tier.
+/// The ratio of retained entries to one message is that of the tier.
 fn wide() -> Settings {
     Settings { max_lag_bytes: 6_400, compaction_threshold_bytes: 6_400, ..settings(2) }
 }
@@ -49,7 +49,7 @@
     during_catch_up: usize,
 }
 
-fn three(seed: u64, settings: Settings) -> (Cluster, MemberId) {
+fn started_cluster(seed: u64, settings: Settings) -> (Cluster, MemberId) {
     let mut cluster = Cluster::new(seed, &[1, 2, 3], settings);
     let leader = cluster.wait_for_leader();
     (cluster, leader)
@@ -60,7 +60,7 @@
 }
 
 /// The leader takes so many changes at the usual pace.
-fn change(cluster: &mut Cluster, change_count: usize) {
+fn propose_changes(cluster: &mut Cluster, change_count: usize) {
     for _ in 0..change_count {
         if let Some(leader) = cluster.leader() {
             cluster.propose(leader, PADDING_BYTES);
@@ -73,12 +73,12 @@
     cluster.history.len().saturating_sub(cluster.nodes[&id].applied.len())
 }
 
-/// Changes go on at their pace until the member lacks none but those on their way; how long that took.
-fn change_until_caught_up(cluster: &mut Cluster, id: MemberId, most: Time) -> Option<Time> {
+/// Changes go on at their pace until the member lacks none but those in flight; how long that took.
+fn change_until_caught_up(cluster: &mut Cluster, id: MemberId, max: Time) -> Option<Time> {
     const MAX_IN_FLIGHT_CHANGES: usize = 2;
     let since = cluster.now;
-    while cluster.now - since < most {
-        change(cluster, 1);
+    while cluster.now - since < max {
+        propose_changes(cluster, 1);
         if cluster.violation.is_some() || lacks(cluster, id) <= MAX_IN_FLIGHT_CHANGES {
             return Some(cluster.now - since);
         }
@@ -99,17 +99,17 @@
 }
 
 /// A member is away while so many changes go on, comes back, and catches up while they still do.
-fn absent(change_count: usize, absence: Absence) -> CaughtUp {
-    let (mut cluster, leader) = three(1, wide());
+fn catch_up_after(change_count: usize, absence: Absence) -> CaughtUp {
+    let (mut cluster, leader) = started_cluster(1, wide());
     let away = others(leader)[0];
-    change(&mut cluster, 5);
+    propose_changes(&mut cluster, 5);
     match absence {
         Absence::Down => cluster.power_off(away),
         Absence::Frozen => cluster.freeze(away, Time::MAX / 4),
         Absence::Wiped => {}
     }
     let back = if absence == Absence::Wiped { cluster.wipe_disk(away) } else { away };
-    change(&mut cluster, change_count);
+    propose_changes(&mut cluster, change_count);
     let before = cluster.history.len();
     reset_traffic(&mut cluster, back);
     match absence {
@@ -117,7 +117,7 @@
         Absence::Frozen => thaw(&mut cluster, back),
         Absence::Wiped => {
             let replica_set = members(&[leader, others(leader)[1], back]);
-            cluster.change_replica_set(leader, replica_set).expect("the group is at rest");
+            cluster.change_replica_set(leader, replica_set).expect("no change is in progress");
         }
     }
     let time = change_until_caught_up(&mut cluster, back, 20 * SECOND).expect("it catches up");
@@ -132,25 +132,25 @@
 }
 
 /// Entries that a leader keeps for who lacks them.
-fn kept_entries() -> usize {
+fn retained_entries() -> usize {
     wide().max_lag_bytes / (8 + PADDING_BYTES + 32)
 }
 
-fn max_message_bytes(took: &CaughtUp) -> usize {
-    let heartbeats = usize::try_from(took.time / wide().heartbeat_interval).expect("few") + 2;
-    let state = took.change_count * CHANGE_STATE_BYTES;
+fn max_traffic_bytes(result: &CaughtUp) -> usize {
+    let heartbeats = usize::try_from(result.time / wide().heartbeat_interval).expect("few") + 2;
+    let state = result.change_count * CHANGE_STATE_BYTES;
     let chunks = state.div_ceil(wide().max_message_bytes) + 1;
-    let entries = kept_entries().min(took.change_count) + took.during_catch_up;
+    let entries = retained_entries().min(result.change_count) + result.during_catch_up;
     state
         + chunks * (CHUNK_HEADER_BYTES + MESSAGE_HEADER_BYTES)
         + entries * CHANGE_WIRE_BYTES
         + heartbeats * MESSAGE_HEADER_BYTES
 }
 
-fn max_time(took: &CaughtUp) -> Time {
-    // There and back; the snapshot's rewrite and the entries' records; and until the first word of the leader.
+fn max_time(result: &CaughtUp) -> Time {
+    // There and back; the snapshot's rewrite and the entries' records; and until the leader's first message.
     const ROUND: Time = 2 * MILLIS + MILLIS / 2;
-    let chunks = (took.change_count * CHANGE_STATE_BYTES).div_ceil(wide().max_message_bytes);
+    let chunks = (result.change_count * CHANGE_STATE_BYTES).div_ceil(wide().max_message_bytes);
     2 * wide().heartbeat_interval + ROUND * Time::try_from(chunks + 4).expect("few") + 3 * CHANGE_INTERVAL
 }
 
@@ -159,8 +159,8 @@
     println!("changes  absence  time (ms)  bytes  of snapshots  most in flight  snapshots restored");
     for absence in [Absence::Down, Absence::Frozen, Absence::Wiped] {
         for change_count in [10, 100, 1_000] {
-            let took = absent(change_count, absence);
-            let CaughtUp { time, traffic, restores, .. } = &took;
+            let result = catch_up_after(change_count, absence);
+            let CaughtUp { time, traffic, restores, .. } = &result;
             println!(
                 "{change_count}  {absence:?}  {}  {}  {}  {}  {restores}",
                 time / MILLIS,
@@ -168,14 +168,19 @@
                 traffic.snapshot_bytes,
                 traffic.max_in_flight_bytes,
             );
-            assert!(*time <= max_time(&took), "{absence:?}, {change_count}: {took:?}, {}", max_time(&took));
-            assert!(traffic.bytes <= max_message_bytes(&took), "{absence:?}, {change_count}: {took:?}");
-            // While it is frozen, signs of life gather.
+            assert!(
+                *time <= max_time(&result),
+                "{absence:?}, {change_count}: {result:?}, {}",
+                max_time(&result)
+            );
+            assert!(traffic.bytes <= max_traffic_bytes(&result), "{absence:?}, {change_count}: {result:?}");
+            // While it is frozen, heartbeats pile up.
             let signs = if absence == Absence::Frozen { change_count * MESSAGE_HEADER_BYTES / 10 } else { 0 };
-            let most = MAX_IN_FLIGHT_MESSAGES * (wide().max_message_bytes + CHUNK_HEADER_BYTES) + signs;
-            assert!(traffic.max_in_flight_bytes <= most, "{absence:?}, {change_count}: {took:?}");
+            let max = MAX_IN_FLIGHT_MESSAGES * (wide().max_message_bytes + CHUNK_HEADER_BYTES) + signs;
+            assert!(traffic.max_in_flight_bytes <= max, "{absence:?}, {change_count}: {result:?}");
             assert!(
-                change_count > 2 * kept_entries() || traffic.snapshot_bytes <= max_message_bytes(&took) / 2
+                change_count > 2 * retained_entries()
+                    || traffic.snapshot_bytes <= max_traffic_bytes(&result) / 2
             );
         }
     }
@@ -183,10 +188,10 @@
 
 #[test]
 fn given_an_isolated_member_when_changes_go_on_then_the_check_finds_that_it_does_not_catch_up() {
-    let (mut cluster, leader) = three(2, wide());
+    let (mut cluster, leader) = started_cluster(2, wide());
     let far = others(leader)[0];
     cluster.isolate(far);
-    change(&mut cluster, 100);
+    propose_changes(&mut cluster, 100);
     assert_eq!(change_until_caught_up(&mut cluster, far, 5 * SECOND), None);
 }
 
@@ -194,10 +199,10 @@
 /// about one transfer was enough.
 fn transfers_once_while_changes_compact(duplication: f64) -> bool {
     let settings = Settings { compaction_threshold_bytes: 1_000, ..wide() };
-    let (mut cluster, leader) = three(3, settings);
+    let (mut cluster, leader) = started_cluster(3, settings);
     let far = others(leader)[0];
     cluster.power_off(far);
-    change(&mut cluster, 2_000);
+    propose_changes(&mut cluster, 2_000);
     let rewrites = cluster.nodes[&leader].requested_writes;
     reset_traffic(&mut cluster, far);
     cluster.network.duplication = duplication;
@@ -230,19 +235,19 @@
 #[test]
 fn given_a_member_that_crashes_repeatedly_when_it_stays_up_then_it_has_all_and_counts_for_a_majority() {
     for seed in 0..20 {
-        let (mut cluster, leader) = three(seed, wide());
+        let (mut cluster, leader) = started_cluster(seed, wide());
         let far = others(leader)[0];
         cluster.power_off(far);
-        change(&mut cluster, 400);
+        propose_changes(&mut cluster, 400);
         for restart in 0..8 {
             cluster.start(far);
-            change(&mut cluster, 1 + restart);
+            propose_changes(&mut cluster, 1 + restart);
             cluster.crash(far);
-            change(&mut cluster, 10);
+            propose_changes(&mut cluster, 10);
         }
         cluster.start(far);
         assert!(change_until_caught_up(&mut cluster, far, 2 * SECOND).is_some(), "seed {seed}");
-        // Now it is the only way to a majority.
+        // Now there is no majority without it.
         cluster.power_off(others(leader)[1]);
         let command = cluster.propose(leader, PADDING_BYTES).expect("it leads");
         cluster.wait_for_commit(command);
@@ -256,10 +261,10 @@
 #[test]
 fn given_a_transfer_in_progress_when_the_leader_loses_power_then_the_next_one_brings_the_member_up_to_date() {
     for seed in 0..20 {
-        let (mut cluster, leader) = three(seed, wide());
+        let (mut cluster, leader) = started_cluster(seed, wide());
         let far = others(leader)[0];
         cluster.power_off(far);
-        change(&mut cluster, 500);
+        propose_changes(&mut cluster, 500);
         cluster.start(far);
         let begun = |cluster: &Cluster| cluster.traffic.get(&far).is_some_and(|t| t.snapshot_bytes > 3_000);
         assert!(cluster.run_until(SECOND, begun), "seed {seed}");
@@ -274,11 +279,12 @@
 
 /// Two that are up, of which one was away for all changes; what broke, if anything did.
 fn elect_among_stale(seed: u64, fault: Fault) -> Option<String> {
-    let (mut cluster, leader) = three(seed, Settings { compaction_threshold_bytes: 1_000, ..wide() });
+    let (mut cluster, leader) =
+        started_cluster(seed, Settings { compaction_threshold_bytes: 1_000, ..wide() });
     cluster.fault = fault;
     let (stale, complete) = (others(leader)[0], others(leader)[1]);
     cluster.power_off(stale);
-    change(&mut cluster, 100);
+    propose_changes(&mut cluster, 100);
     cluster.run_for(SECOND);
     cluster.power_off(leader);
     cluster.power_off(complete);
@@ -293,7 +299,7 @@
         return Some("the stale one is elected".to_owned());
     }
     cluster.run_until(10 * SECOND, |cluster| cluster.leader().is_some());
-    change(&mut cluster, 5);
+    propose_changes(&mut cluster, 5);
     cluster.violation.take()
 }
 
@@ -324,20 +330,20 @@
 #[test]
 fn given_a_leader_that_has_committed_nothing_when_it_is_asked_then_it_serves_nothing() {
     for seed in 0..20 {
-        let (mut cluster, leader) = three(seed, wide());
-        change(&mut cluster, 50);
+        let (mut cluster, leader) = started_cluster(seed, wide());
+        propose_changes(&mut cluster, 50);
         cluster.power_off(leader);
         let elected = |cluster: &Cluster| {
             others(leader).into_iter().find(|&id| cluster.replica(id).leader() == Some(&member(id)))
         };
         assert!(cluster.run_until(2 * SECOND, |cluster| elected(cluster).is_some()), "seed {seed}");
         let next = elected(&cluster).expect("one is");
-        // Given that nobody hears it from now on.
+        // Given that nobody receives anything of it from now on.
         cluster.isolate(next);
         let ticket = cluster.read(next).expect("it is up");
         let command = cluster.propose(next, PADDING_BYTES).expect("it takes it");
         assert!(!cluster.replica(next).is_serving_leader(), "seed {seed}");
-        // A change of the group is begun, as it needs a quorum of the old group too; no other one beside it.
+        // A change of the replica set is begun, as it needs a quorum of the old set too; but no second one.
         let replica_set: Vec<u64> = others(leader).into_iter().collect();
         assert!(cluster.change_replica_set(next, members(&replica_set)).is_ok(), "seed {seed}");
         assert_eq!(
@@ -354,7 +360,7 @@
         assert!(!cluster.is_committed(command), "seed {seed}");
         assert!(
             !cluster.replica(next).is_replica_set_committed(),
-            "seed {seed}: nor is the change of the group"
+            "seed {seed}: nor is the change of the replica set"
         );
         cluster.blocked_links.clear();
         let next = cluster.wait_for_leader();
@@ -369,8 +375,9 @@
 #[test]
 fn given_a_power_loss_of_all_when_a_leader_starts_from_a_snapshot_then_it_answers_with_the_newest_state() {
     for seed in 0..20 {
-        let (mut cluster, _) = three(seed, Settings { compaction_threshold_bytes: 1_000, ..wide() });
-        change(&mut cluster, 200);
+        let (mut cluster, _) =
+            started_cluster(seed, Settings { compaction_threshold_bytes: 1_000, ..wide() });
+        propose_changes(&mut cluster, 200);
         for id in 1..=3 {
             cluster.power_off(id);
         }
@@ -389,7 +396,7 @@
     }
 }
 
-/// A member that was away gets a snapshot from two leaders, in pieces that are lost, doubled and late, and in the end all its
+/// A member that was away gets a snapshot from two leaders, in chunks that are lost, duplicated and late, and in the end all its
 /// messages once more in any order; what broke, if anything did.
 fn transfer_over_bad_links(
     seed: u64,
@@ -398,20 +405,20 @@
     delay: f64,
     fault: Fault,
 ) -> Result<(), String> {
-    let (mut cluster, leader) = three(seed, settings(2));
+    let (mut cluster, leader) = started_cluster(seed, settings(2));
     cluster.fault = fault;
     let far = others(leader)[0];
     cluster.power_off(far);
-    change(&mut cluster, 300);
+    propose_changes(&mut cluster, 300);
     cluster.network = Network { loss, duplication, delay };
     cluster.recording = Some(far);
     cluster.start(far);
-    change(&mut cluster, 30);
-    // The leader stands still with the transfer under way, and goes on with it when another one leads.
+    propose_changes(&mut cluster, 30);
+    // The leader freezes during the transfer, and goes on with it when another one leads.
     if let Some(first) = cluster.leader() {
         cluster.freeze(first, SECOND);
     }
-    change(&mut cluster, 250);
+    propose_changes(&mut cluster, 250);
     cluster.network = Network { loss: 0.0, duplication: 0.0, delay: 0.0 };
     cluster.recording = None;
     cluster.run_for(SECOND);
--- a/crates/consensus/tests/exhaustive.rs
+++ b/crates/consensus/tests/exhaustive.rs
@@ -1,7 +1,7 @@
 //! Orders of events among three members, breadth first up to so many states, from a leader on, with a loss of power in which
 //! one disk goes too: what any replica hands out as committed is the same everywhere.
 //!
-//! A replica is determined by what it was handed, so a state is known by what each was handed in turn: orders that differ only
+//! A replica is determined by its inputs, so a state is identified by the inputs of each in turn: orders that differ only
 //! between members are one.
 
 use std::collections::HashSet;
@@ -32,14 +32,14 @@
     /// Not synced.
     writes: Vec<(u64, Bytes)>,
     applied: Vec<(Index, Bytes)>,
-    /// Of all that it was handed.
+    /// A hash of all its inputs.
     history_hash: u64,
 }
 
 #[derive(Clone)]
 struct State {
     nodes: Vec<Node>,
-    /// On their way, each to a place in `nodes`.
+    /// In flight, each with the position of its receiver in `nodes`.
     messages: Vec<(usize, Bytes)>,
     committed: Vec<(Index, Bytes)>,
     proposals: u8,
@@ -115,7 +115,7 @@
         }
         actions
     }
-    /// What goes wrong in it, if anything.
+    /// Does one thing; the violation that shows, if one does.
     fn apply_action(&mut self, action: Action, disk_loss: DiskLoss) -> Result<(), String> {
         match action {
             Action::Deliver(message) => {
@@ -137,55 +137,61 @@
                 self.proposals -= 1;
                 let node = &mut self.nodes[position];
                 node.history_hash = chain(node.history_hash, "propose");
-                let _ = node
-                    .replica
-                    .propose(node.now, Bytes::from(vec![self.proposals, node.history_hash as u8]));
+                let command = Bytes::from(vec![self.proposals, node.history_hash as u8]);
+                let _ = node.replica.propose(node.now, command);
                 self.drive(position)
             }
-            Action::Timeout(position) => {
-                self.timeouts = self.timeouts.saturating_sub(1);
-                let node = &mut self.nodes[position];
-                node.history_hash = chain(node.history_hash, "timeout");
-                let end = node.now + 3 * SETTINGS.election_timeout;
-                let before = self.messages.len();
-                while self.nodes[position].now < end && self.messages.len() == before {
-                    let node = &mut self.nodes[position];
-                    node.now = node.replica.next_timeout();
-                    node.replica.handle_timeout(node.now);
-                    self.drive(position)?;
-                }
-                Ok(())
-            }
-            Action::Loss(lost) => {
-                self.losses -= 1;
-                // Time passes, so all may vote, and one of those left may stand.
-                self.timeouts += 1;
-                let now = self.nodes.iter().map(|node| node.now).max().unwrap_or(0)
-                    + 10 * SETTINGS.election_timeout;
-                // What was said before is heard nowhere any more.
-                self.messages.clear();
-                for (position, node) in self.nodes.iter_mut().enumerate() {
-                    node.history_hash = chain(node.history_hash, "loss");
-                    node.now = now;
-                    node.writes.clear();
-                    node.applied.clear();
-                    let mut me = node.replica.local_member().clone();
-                    let mut founding: Vec<Member> = (1..=3).map(member).collect();
-                    if position == lost {
-                        node.history_hash = chain(node.history_hash, "lost");
-                        node.disk.clear();
-                        if disk_loss == DiskLoss::NewId {
-                            me = member(4);
-                            founding.clear();
-                        }
-                    }
-                    node.replica = Replica::recover(me, founding, SETTINGS, &node.disk, 1, now)
-                        .map_err(|error| error.to_string())?;
+            Action::Timeout(position) => self.time_out(position),
+            Action::Loss(position) => self.lose_power(position, disk_loss),
+        }
+    }
+
+    /// Time passes for one of them until it sends something, for three election timeouts at most.
+    fn time_out(&mut self, position: usize) -> Result<(), String> {
+        self.timeouts = self.timeouts.saturating_sub(1);
+        let node = &mut self.nodes[position];
+        node.history_hash = chain(node.history_hash, "timeout");
+        let end = node.now + 3 * SETTINGS.election_timeout;
+        let before = self.messages.len();
+        while self.nodes[position].now < end && self.messages.len() == before {
+            let node = &mut self.nodes[position];
+            node.now = node.replica.next_timeout();
+            node.replica.handle_timeout(node.now);
+            self.drive(position)?;
+        }
+        Ok(())
+    }
+
+    /// All lose power, and one of them its disk.
+    fn lose_power(&mut self, lost: usize, disk_loss: DiskLoss) -> Result<(), String> {
+        self.losses -= 1;
+        // Time passes, so all may vote, and one of those left may campaign.
+        self.timeouts += 1;
+        let newest = self.nodes.iter().map(|node| node.now).max().unwrap_or(0);
+        let now = newest + 10 * SETTINGS.election_timeout;
+        // What was sent before is received nowhere any more.
+        self.messages.clear();
+        for (position, node) in self.nodes.iter_mut().enumerate() {
+            node.history_hash = chain(node.history_hash, "loss");
+            node.now = now;
+            node.writes.clear();
+            node.applied.clear();
+            let mut local_member = node.replica.local_member().clone();
+            let mut founding: Vec<Member> = (1..=3).map(member).collect();
+            if position == lost {
+                node.history_hash = chain(node.history_hash, "lost");
+                node.disk.clear();
+                if disk_loss == DiskLoss::NewId {
+                    local_member = member(4);
+                    founding.clear();
                 }
-                Ok(())
             }
+            node.replica = Replica::recover(local_member, founding, SETTINGS, &node.disk, 1, now)
+                .map_err(|error| error.to_string())?;
         }
+        Ok(())
     }
+
     fn drive(&mut self, position: usize) -> Result<(), String> {
         let node = &mut self.nodes[position];
         let output = node.replica.take_ready();
@@ -257,7 +263,7 @@
     (seen.len(), None)
 }
 
-/// The first has committed one command with the second; the third has heard nothing of it.
+/// The first has committed one command with the second; the third has received nothing of it.
 fn acknowledged() -> State {
     let mut state = elected_state();
     state.apply_action(Action::Propose(0), DiskLoss::NewId).expect("sound");
--- a/crates/consensus/tests/fencing.rs
+++ b/crates/consensus/tests/fencing.rs
@@ -1,5 +1,5 @@
-//! Groups of the least size, `2f` members where `f` disks may be lost at once, through losses one after the other: the half that
-//! is left goes on once another group has fenced a lost disk, and what was committed is never lost.
+//! Replica sets of the smallest size, `2f` members where `f` disks may be lost at once, through losses one after the other: the
+//! remaining half goes on once another shard has fenced a lost disk, and what was committed is never lost.
 
 mod common;
 
@@ -12,19 +12,19 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Authority {
     Correct,
-    /// Two nodes are each told that the other one is fenced.
+    /// Each of two nodes is notified that the other one is fenced.
     ConflictingOrders,
-    /// A disk is lost before the group that had lost one before has handed over.
+    /// A disk is lost before the replica set that had lost one before is durable.
     LossBeforeHandover,
 }
 
-/// The authority: disks in the order in which they were fenced, and how many each node was told of.
+/// The authority: disks in the order in which they were fenced, of which each node is notified.
 struct Fences {
     order: Vec<MemberId>,
 }
 
 impl Fences {
-    /// Tells a node of some of them, all where `all`.
+    /// Notifies a node of some of them, of all where `all`.
     fn notify(&self, cluster: &mut Cluster, id: MemberId, all: bool) {
         let count = if all { self.order.len() } else { cluster.rng.random_range(0..=self.order.len()) };
         cluster.fence(id, &self.order[..count]);
@@ -42,7 +42,7 @@
     replaced: usize,
 }
 
-struct Course {
+struct FaultRun {
     cluster: Cluster,
     fences: Fences,
     authority: Authority,
@@ -52,7 +52,7 @@
     counts: FaultCounts,
 }
 
-impl Course {
+impl FaultRun {
     fn new(seed: u64, tolerated_losses: usize, authority: Authority) -> Self {
         let founding: Vec<MemberId> = (1..=2 * tolerated_losses as u64).collect();
         let mut cluster = Cluster::new(seed, &founding, settings(tolerated_losses + 1));
@@ -65,7 +65,7 @@
         self.cluster.nodes.iter().filter(|(_, node)| !node.has_lost_disk).map(|(&id, _)| id).collect()
     }
 
-    /// The group of the leader of the newest term anywhere, where it is known to hold all.
+    /// The replica set of the leader of the newest term anywhere, where it is durable.
     fn durable_replica_set(&self) -> Option<(MemberId, Vec<Member>)> {
         let leader = self.cluster.leader()?;
         let replica = self.cluster.replica(leader);
@@ -74,7 +74,7 @@
         (current && replica.is_replica_set_durable()).then(|| (leader, replica.members().to_vec()))
     }
 
-    /// Members of a group that are lost, or fenced and so no part of what bears the next loss.
+    /// Members of a replica set that are lost, or fenced and so of no use at the next loss.
     fn missing(&self, replica_set: &[Member]) -> usize {
         replica_set
             .iter()
@@ -96,7 +96,7 @@
         self.spares.push(member(id));
     }
 
-    /// One more loss, where the group bears it.
+    /// One more loss, where the replica set tolerates it.
     fn lose_disk(&mut self) {
         let at_once = self.authority == Authority::LossBeforeHandover;
         let replica_set = match self.durable_replica_set() {
@@ -113,7 +113,7 @@
             return;
         }
         if self.cluster.rng.random_bool(0.3) {
-            // It is only away for long, and comes back; its seat is for another machine by then.
+            // It is only away for long, and comes back; another member has replaced it by then.
             self.cluster.crash(one);
             self.fences.order.push(one);
             self.add_spare();
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The leader gives a seat that is lost or fenced to a spare; or swaps, grows or shrinks.
+    /// The leader replaces a member that is lost or fenced by a spare; or it swaps, adds or removes one.
     fn change(&mut self) {
         let Some(leader) = self.cluster.elected_leader() else { return };
         let (replica_set, is_committed) =
@@ -221,7 +221,7 @@
             }
             self.replace_missing();
         }
-        Err("the group never got whole".to_owned())
+        Err("the replica set never became complete".to_owned())
     }
 
     fn replace_missing(&mut self) {
@@ -244,7 +244,7 @@
             }
             self.cluster.run_for(100 * MILLIS);
         }
-        let last = last.ok_or("a whole group does not take a command")?;
+        let last = last.ok_or("a complete replica set does not take a command")?;
         let done = self.cluster.run_until(60 * SECOND, |cluster| {
             replica_set
                 .iter()
@@ -254,28 +254,28 @@
     }
 }
 
-fn course(seed: u64, tolerated_losses: usize, authority: Authority) -> Result<FaultCounts, String> {
-    let mut course = Course::new(seed, tolerated_losses, authority);
+fn run_schedule(seed: u64, tolerated_losses: usize, authority: Authority) -> Result<FaultCounts, String> {
+    let mut run = FaultRun::new(seed, tolerated_losses, authority);
     for _ in 0..400 {
-        course.step();
-        if let Some(violation) = course.cluster.violation.take() {
+        run.step();
+        if let Some(violation) = run.cluster.violation.take() {
             return Err(violation);
         }
     }
-    let healed = course.end_faults();
-    if let Some(violation) = course.cluster.violation.take() {
+    let healed = run.end_faults();
+    if let Some(violation) = run.cluster.violation.take() {
         return Err(violation);
     }
     healed?;
-    course.counts.committed = course.cluster.history.len();
-    Ok(course.counts)
+    run.counts.committed = run.cluster.history.len();
+    Ok(run.counts)
 }
 
-fn courses(seeds: std::ops::Range<u64>, tolerated_losses: usize) {
+fn run_schedules(seeds: std::ops::Range<u64>, tolerated_losses: usize) {
     let mut all = FaultCounts::default();
     let mut violations = vec![];
     for seed in seeds {
-        match course(seed, tolerated_losses, Authority::Correct) {
+        match run_schedule(seed, tolerated_losses, Authority::Correct) {
             Ok(counts) => {
                 all.committed += counts.committed;
                 all.wipes += counts.wipes;
@@ -292,22 +292,23 @@
 
 #[test]
 fn given_replica_sets_of_two_when_disks_are_lost_in_turn_then_nothing_committed_is_lost() {
-    courses(0..200, 1);
+    run_schedules(0..200, 1);
 }
 
 #[test]
 fn given_replica_sets_of_four_when_two_disks_are_lost_at_once_then_nothing_committed_is_lost() {
-    courses(0..100, 2);
+    run_schedules(0..100, 2);
 }
 
 fn is_found(authority: Authority) -> bool {
-    (0..200).any(|seed| course(seed, 1, authority).is_err())
+    (0..200).any(|seed| run_schedule(seed, 1, authority).is_err())
 }
 
 #[test]
 fn given_fences_in_conflicting_orders_when_disks_are_lost_then_the_checker_finds_it() {
-    let found = (0..200)
-        .any(|seed| course(seed, 1, Authority::ConflictingOrders).is_err_and(|what| what.starts_with("at ")));
+    let found = (0..200).any(|seed| {
+        run_schedule(seed, 1, Authority::ConflictingOrders).is_err_and(|what| what.starts_with("at "))
+    });
     assert!(found);
 }
 
@@ -333,14 +334,14 @@
     let single_leader = cluster.propose(left, 0).expect("it leads");
     cluster.run_for(5 * SECOND);
     assert!(!cluster.is_committed(single_leader));
-    cluster.change_replica_set(left, vec![member(left), member(new)]).expect("the group is settled");
+    cluster.change_replica_set(left, vec![member(left), member(new)]).expect("no change is in progress");
     cluster.wait_for_commit(single_leader);
     assert!(cluster.run_until(SECOND, |cluster| cluster.replica(left).is_replica_set_durable()));
-    // The next loss, of the one that held all: the newcomer does now.
+    // The next loss, of the one that had all: the new member has it now.
     let newest = cluster.wipe_disk(left);
     cluster.fence(new, &[lost, left]);
     assert!(cluster.run_until(5 * SECOND, |cluster| cluster.elected_leader() == Some(new)));
-    cluster.change_replica_set(new, vec![member(new), member(newest)]).expect("the group is settled");
+    cluster.change_replica_set(new, vec![member(new), member(newest)]).expect("no change is in progress");
     let last = cluster.propose(new, 0).expect("it leads");
     cluster.wait_for_commit(last);
     assert_eq!(cluster.history.len(), 3, "nothing is lost: {:?}", cluster.history);
@@ -356,15 +357,15 @@
     cluster.fence(left, &[away]);
     assert!(cluster.run_until(5 * SECOND, |cluster| cluster.elected_leader() == Some(left)));
     cluster.add(3, vec![]);
-    cluster.change_replica_set(left, vec![member(left), member(3)]).expect("the group is settled");
+    cluster.change_replica_set(left, vec![member(left), member(3)]).expect("no change is in progress");
     assert!(cluster.run_until(5 * SECOND, |cluster| cluster.replica(left).is_replica_set_durable()));
-    // The one that is away knows nothing of it, and meets nobody of the new group.
+    // The one that is away knows nothing of it, and reaches nobody of the new replica set.
     cluster.start(away);
     cluster.block_link(away, left);
     cluster.block_link(left, away);
     cluster.run_for(5 * SECOND);
     assert_eq!(cluster.leader(), Some(left));
-    // Nor when it hears of fences: they come in their order, its own first.
+    // Nor when it is notified of fences: they come in their order, its own first.
     cluster.fence(away, &[away]);
     cluster.fence(away, &[away, left]);
     cluster.run_for(5 * SECOND);
--- a/crates/consensus/tests/format.rs
+++ b/crates/consensus/tests/format.rs
@@ -1,4 +1,4 @@
-//! The bytes of a group, pinned: messages between replicas, and records on their disks, each as replicas of a fixed seed make
+//! The bytes of a replica set, pinned: messages between replicas, and records on their disks, each as replicas of a fixed seed make
 //! them; and that replicas read committed ones.
 
 mod common;
@@ -77,7 +77,7 @@
     propose(cluster, 3);
 }
 
-/// All that the members of a group say and keep over the events of its life.
+/// All that the members of a replica set send and persist through a series of events.
 fn scenario() -> (Cluster, Trace) {
     let mut cluster = Cluster::new(7, &FOUNDING, settings(2));
     cluster.trace = Some(Trace::default());
@@ -90,11 +90,11 @@
     (cluster, trace)
 }
 
-/// A replica with a disk that saves at once, and a state machine that keeps what it is handed.
+/// A replica with a disk that syncs at once, and a state machine that records what it is handed.
 struct Node {
     replica: Replica,
     disk: Vec<Bytes>,
-    /// All that the disk ever was told to keep.
+    /// All that was ever written to the disk.
     written: Vec<Bytes>,
     state: Vec<u8>,
     committed: Vec<(Index, Bytes)>,
@@ -161,13 +161,13 @@
     }
 }
 
-/// A member alone in its group, with an IPv6 address.
+/// The only member of a replica set, with an IPv6 address.
 fn single_member() -> Member {
     let at = SocketAddr::V6(SocketAddrV6::new(Ipv6Addr::LOCALHOST, 4711, 5, 6));
     Member { name: "n\u{e4}me".to_owned(), zone: String::new(), address: at, ..member(9) }
 }
 
-/// A member alone in its group commits commands before and after a snapshot of two pieces.
+/// A member alone in its replica set commits commands before and after a snapshot of two chunks.
 fn run_single_member() -> Node {
     let me = single_member();
     let mut node = Node::new(Replica::new(me.clone(), vec![me], settings(1), 1, 0));
@@ -183,7 +183,7 @@
     node
 }
 
-/// It starts again and gives up its log: the records that it then keeps.
+/// It restarts and becomes a tombstone: the records that it then writes.
 fn tombstone_records(disk: &[Bytes]) -> Vec<Bytes> {
     let mut node = Node::recover(single_member(), disk);
     node.process_ready(0);
--- a/crates/consensus/tests/quorum.rs
+++ b/crates/consensus/tests/quorum.rs
@@ -1,4 +1,4 @@
-//! Quorums under fences: any two of one group meet, whatever was known where, as long as fences are decided in one order.
+//! Quorums under fences: any two of one replica set meet, whatever was known where, as long as fences are decided in one order.
 
 mod common;
 
--- a/crates/consensus/tests/recovery.rs
+++ b/crates/consensus/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Crashes at each write: of what a member has asked to save any beginning may be on its disk. From each such disk it goes on,
+//! Crashes at each write: of what a member has asked to write any beginning may be on its disk. From each such disk it goes on,
 //! also as one of the two that are left.
 
 mod common;
@@ -9,7 +9,7 @@
 /// Between two changes: shorter than it takes to commit one, so that records follow the snapshot in a rewrite.
 const CHANGE_INTERVAL: Time = MILLIS;
 const PADDING_BYTES: usize = 50;
-/// Changes in one course.
+/// Changes in one run.
 const CHANGES: usize = 60;
 
 /// Whose crash it is.
@@ -25,9 +25,9 @@
     Settings { compaction_threshold_bytes: 1_000, max_lag_bytes: 1_000, ..settings(2) }
 }
 
-/// What a course with a crash came to.
+/// How a run with a crash ended.
 #[derive(Debug, PartialEq, Eq)]
-enum Course {
+enum CrashOutcome {
     /// Nothing broke.
     Sound,
     Broken(String),
@@ -37,7 +37,7 @@
 
 /// The member of this role crashes once it has asked for `requested` writes, with just `kept` of the unsynced ones on its disk. It
 /// and the member that was away are then the only ones left.
-fn crash_at(role: Role, requested_writes: usize, kept: usize, fault: Fault) -> Course {
+fn crash_at(role: Role, requested_writes: usize, kept: usize, fault: Fault) -> CrashOutcome {
     let mut cluster = Cluster::new(7, &[1, 2, 3], compacts_often());
     cluster.fault = fault;
     let leader = cluster.wait_for_leader();
@@ -60,10 +60,10 @@
     }
     let from = if role == Role::Returning { 0 } else { cluster.nodes[&crashing].requested_writes };
     if !change_until_requested(&mut cluster, crashing, from + requested_writes, leader) {
-        return Course::TooShort;
+        return CrashOutcome::TooShort;
     }
     if cluster.unsynced_writes(crashing) < kept {
-        return Course::TooShort;
+        return CrashOutcome::TooShort;
     }
     cluster.crash_keeping_writes(crashing, kept);
     cluster.run_for(20 * MILLIS);
@@ -75,8 +75,8 @@
         }
     }
     match check_progress(&mut cluster) {
-        Err(what) => Course::Broken(what),
-        Ok(()) => Course::Sound,
+        Err(what) => CrashOutcome::Broken(what),
+        Ok(()) => CrashOutcome::Sound,
     }
 }
 
@@ -130,14 +130,18 @@
     let (mut sound, mut broken) = (0, vec![]);
     for requested_writes in 1.. {
         let first = crash_at(role, requested_writes, 0, fault);
-        if first == Course::TooShort {
+        if first == CrashOutcome::TooShort {
             break;
         }
         let rest = (1..).map(|kept| crash_at(role, requested_writes, kept, fault));
-        for course in std::iter::once(first).chain(rest.take_while(|course| *course != Course::TooShort)) {
-            match course {
-                Course::Broken(what) => broken.push(format!("{role:?}, {requested_writes} writes: {what}")),
-                Course::Sound | Course::TooShort => sound += 1,
+        for outcome in
+            std::iter::once(first).chain(rest.take_while(|outcome| *outcome != CrashOutcome::TooShort))
+        {
+            match outcome {
+                CrashOutcome::Broken(what) => {
+                    broken.push(format!("{role:?}, {requested_writes} writes: {what}"))
+                }
+                CrashOutcome::Sound | CrashOutcome::TooShort => sound += 1,
             }
         }
     }
@@ -187,7 +191,7 @@
         for _ in 0..6 {
             cluster.run_until(10 * SECOND, |cluster| cluster.leader().is_some());
             (1..=3).for_each(|id| cluster.power_off(id));
-            // What is on its way still tells of the term.
+            // What is in flight still has the term.
             cluster.run_for(100 * MILLIS);
             (1..=3).for_each(|id| cluster.start(id));
         }
--- a/crates/consensus/tests/scenarios.rs
+++ b/crates/consensus/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! What a group does, told as given, when, then.
+//! Scenarios of a replica set: elections, commits, reads, changes of its members.
 
 mod common;
 
@@ -25,7 +25,7 @@
     let command = cluster.propose(leader, 0).expect("it leads");
     cluster.wait_for_commit(command);
     cluster.run_for(SECOND);
-    // All have heard of it, and of who leads.
+    // All have it, and know who leads.
     for id in 1..=3 {
         assert_eq!(cluster.nodes[&id].applied.len(), 1);
         assert_eq!(cluster.replica(id).leader(), Some(&member(leader)));
@@ -125,7 +125,7 @@
         assert_eq!(next, left);
         assert!(cluster.nodes[&next].applied.iter().any(|(_, id)| *id == command));
         let replica_set = members(&[left, far, new]);
-        cluster.change_replica_set(next, replica_set.clone()).expect("the group is at rest");
+        cluster.change_replica_set(next, replica_set.clone()).expect("no change is in progress");
         assert!(cluster.run_until(5 * SECOND, |cluster| cluster.replica(new).members() == &replica_set[..]
             && cluster.replica(new).is_replica_set_committed()));
         cluster.run_for(SECOND);
@@ -140,14 +140,14 @@
     let gone = others(leader)[0];
     let stays = others(leader)[1];
     let new = cluster.wipe_disk(gone);
-    cluster.change_replica_set(leader, members(&[leader, stays, new])).expect("the group is at rest");
+    cluster.change_replica_set(leader, members(&[leader, stays, new])).expect("no change is in progress");
     assert!(cluster.run_until(5 * SECOND, |cluster| cluster.replica(new).is_replica_set_committed()
         && !cluster.replica(new).members().is_empty()));
     cluster.run_for(SECOND);
     for id in [leader, stays, new] {
         cluster.power_off(id);
     }
-    // The old member never comes back, and one of the old group does not either.
+    // The old member never comes back, and one of the old replica set does not either.
     cluster.start(leader);
     cluster.start(new);
     cluster.wait_for_leader();
@@ -161,7 +161,7 @@
     for id in [4, 5] {
         cluster.add(id, vec![]);
         ids.push(id);
-        cluster.change_replica_set(leader, members(&ids)).expect("the group is at rest");
+        cluster.change_replica_set(leader, members(&ids)).expect("no change is in progress");
         // One change at a time.
         assert_eq!(
             cluster.change_replica_set(leader, members(&[1, 2, 3])),
@@ -184,7 +184,7 @@
     cluster.run_for(SECOND);
     // A leader that leaves hands over.
     ids.retain(|&id| id != leader);
-    cluster.change_replica_set(leader, members(&ids)).expect("the group is at rest");
+    cluster.change_replica_set(leader, members(&ids)).expect("no change is in progress");
     let left = leader;
     assert!(cluster.run_until(5 * SECOND, |cluster| cluster.leader().is_some_and(|next| next != left)));
     leader = cluster.leader().expect("one leads");
@@ -225,7 +225,7 @@
     assert!(cluster.nodes[&leader].disk.len() < 200, "its records are rewritten");
     cluster.start(far);
     assert!(cluster.run_until(10 * SECOND, |cluster| cluster.nodes[&far].applied.len() == 300));
-    // Pieces, and heads.
+    // Chunks, and headers.
     assert!(cluster.longest_message_bytes < 400 + 600, "{}", cluster.longest_message_bytes);
     // And it recovers from it.
     cluster.run_for(SECOND);
@@ -305,8 +305,7 @@
     assert!(Replica::recover(member(1), vec![], settings(2), &[record], 1, 0).is_err());
 }
 
-/// Given a group that loses power and comes back, when nobody leads, then one does within an election time: it need not wait as
-/// long as for a leader that was heard.
+/// Nobody had contact to a leader, so nobody waits for one as long as otherwise.
 #[test]
 fn given_a_power_loss_of_all_when_they_restart_then_a_leader_is_elected_within_an_election_timeout() {
     for seed in 0..20 {
--- a/crates/consensus/tests/snapshot_transfer.rs
+++ b/crates/consensus/tests/snapshot_transfer.rs
@@ -1,4 +1,4 @@
-//! A snapshot's transfer ends: entries that come meanwhile are kept for who gets it, and who was away gets the newest one.
+//! A snapshot's transfer completes: entries that come in between are retained for its receiver, and who was away gets the newest one.
 
 mod common;
 
@@ -10,7 +10,7 @@
 const PADDING_BYTES: usize = 50;
 /// What a change takes in the snapshot of the harness's state machine.
 const CHANGE_STATE_BYTES: usize = 16;
-/// What a piece of a snapshot takes beside its bytes, at most.
+/// What a chunk of a snapshot takes beside its bytes, at most.
 const CHUNK_HEADER_BYTES: usize = 350;
 
 fn change(cluster: &mut Cluster, change_count: usize) {
@@ -23,7 +23,7 @@
 }
 
 /// Given a member that is down after `before` changes and while `missed` more go on, when it is back and changes still go on, then
-/// it lacks none but those on their way after one snapshot.
+/// it lacks none but those in flight after one snapshot.
 fn one_snapshot_is_enough(settings: Settings, before: usize, missed: usize) {
     let mut cluster = Cluster::new(1, &[1, 2, 3], settings);
     let leader = cluster.wait_for_leader();
@@ -88,6 +88,6 @@
     // One message may go beyond the bound, and each has a head.
     let sent = cluster.traffic[&slow].bytes;
     println!("{sent} bytes");
-    assert!(sent < 2 * (settings.max_message_bytes + CHUNK_HEADER_BYTES), "{sent} bytes on their way");
+    assert!(sent < 2 * (settings.max_message_bytes + CHUNK_HEADER_BYTES), "{sent} bytes in flight");
     cluster.assert_sound();
 }
--- a/crates/consensus/tests/tombstone.rs
+++ b/crates/consensus/tests/tombstone.rs
@@ -1,4 +1,4 @@
-//! A member that gives up its log and state: what it keeps of them.
+//! A member that drops its log and state: what it keeps on its disk.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use common::{MILLIS, member, members, settings};
 use rainlug_consensus::{Member, Replica, Time};
 
-/// A replica with a disk that saves at once.
+/// A replica with a disk that syncs at once.
 struct Node {
     replica: Replica,
     disk: Vec<Bytes>,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Time passes for those that are there; who is not there hears nothing.
+/// Time passes for these nodes; messages to others are lost.
 fn run(nodes: &mut [&mut Node], now: &mut Time, time: Time) {
     let end = *now + time;
     while *now < end {
@@ -67,7 +67,7 @@
 
 const FOUNDING: [u64; 3] = [1, 2, 3];
 
-/// A group of three, of which the last one has missed what the others have committed.
+/// A replica set of three, of which the last one has missed what the others have committed.
 fn with_one_left_behind(now: &mut Time) -> [Node; 3] {
     let [mut first, mut second, third] = FOUNDING.map(|id| Node::new(id, &FOUNDING));
     run(&mut [&mut first, &mut second], now, 2_000 * MILLIS);
@@ -77,7 +77,7 @@
     [first, second, third]
 }
 
-/// The follower of the first two gives up what it holds.
+/// The follower of the first two becomes a tombstone.
 fn tombstone_records(first: Node, second: Node, now: Time) -> Node {
     let mut follower = if first.replica.is_serving_leader() { second } else { first };
     assert!(follower.replica.become_tombstone(now));
