--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -51,29 +51,30 @@
     pub(crate) fn update_membership(&mut self) {
         let now = self.now.steady;
         let KnownPeers { live, zones, has_gateways } = self.known_peers();
-        self.has_known_gateways = has_gateways;
-        for address in self.live_peers.keys().filter(|address| !live.contains_key(address)) {
-            self.absent_since.insert(*address, now);
+        self.peers.has_gateways = has_gateways;
+        for address in self.peers.live.keys().filter(|address| !live.contains_key(address)) {
+            self.peers.absent_since.insert(*address, now);
         }
         let newcomers: BTreeSet<SocketAddr> =
-            live.keys().filter(|address| !self.live_peers.contains_key(address)).copied().collect();
-        self.absent_since
+            live.keys().filter(|address| !self.peers.live.contains_key(address)).copied().collect();
+        self.peers
+            .absent_since
             .retain(|address, since| !live.contains_key(address) && now - *since < ABSENCE_RETENTION);
         let gateways = live.values().filter(|peer| peer.is_gateway).count();
-        let gateways_before = self.live_peers.values().filter(|peer| peer.is_gateway).count();
-        self.live_peers = live;
+        let gateways_before = self.peers.live.values().filter(|peer| peer.is_gateway).count();
+        self.peers.live = live;
         self.reports.members(&self.info.zone, self.info.peer_address, zones);
-        self.registrars.borrow_mut().clear();
-        let peers: Vec<SocketAddr> = self.live_peers.keys().copied().collect();
+        self.peers.registrars.borrow_mut().clear();
+        let peers: Vec<SocketAddr> = self.peers.live.keys().copied().collect();
         self.gossip.set_peers(now, &peers);
-        if gateways != gateways_before || self.caught_up_at.is_none() {
-            self.effects.push(Effect::Others(gateways));
+        if gateways != gateways_before || self.contact.caught_up_at.is_none() {
+            self.effects.push(Effect::PeerCount(gateways));
         }
         // Whoever meets others again, after its start or a partition, compares with them at once.
-        let is_due =
-            self.caught_up_at.is_none_or(|at| now - at > CATCH_UP_INTERVAL) || now < self.comparing_until;
+        let is_due = self.contact.caught_up_at.is_none_or(|at| now - at > CATCH_UP_INTERVAL)
+            || now < self.contact.comparing_until;
         if !newcomers.is_empty() && is_due {
-            self.caught_up_at = Some(now);
+            self.contact.caught_up_at = Some(now);
             self.catch_up();
         }
     }
@@ -81,7 +82,7 @@
     /// The peers in the failure detector's view, without this process and those that left.
     fn known_peers(&self) -> KnownPeers {
         let mut known = KnownPeers { live: BTreeMap::new(), zones: BTreeMap::new(), has_gateways: false };
-        for member in self.view.members() {
+        for member in self.peers.view.members() {
             for (card, standing, _) in member.processes {
                 if card.at == self.info.peer_address || standing == Standing::Left {
                     continue;
@@ -104,26 +105,26 @@
 
     /// The gateway that takes the heartbeats of a service's workers: the highest by rendezvous hash among those alive.
     pub(crate) fn registrar(&self, service: &str) -> Option<SocketAddr> {
-        if let Some(known) = self.registrars.borrow().get(service) {
+        if let Some(known) = self.peers.registrars.borrow().get(service) {
             return *known;
         }
         let weigh = |address: &SocketAddr| {
             xxh3_64_with_seed(service.as_bytes(), xxh3_64_with_seed(address.to_string().as_bytes(), 1))
         };
         let others =
-            self.live_peers.iter().filter(|(_, peer)| peer.is_gateway && peer.control_address.is_some());
+            self.peers.live.iter().filter(|(_, peer)| peer.is_gateway && peer.control_address.is_some());
         let own = self.info.role.is_gateway().then_some(self.info.peer_address);
         let found = others.map(|(address, _)| *address).chain(own).max_by_key(weigh);
-        self.registrars.borrow_mut().insert(service.to_owned(), found);
+        self.peers.registrars.borrow_mut().insert(service.to_owned(), found);
         found
     }
 
     /// Something came from a peer. Where that ends an isolation, what was missed is asked for at once.
     pub(crate) fn record_contact(&mut self, now: Now) {
         let was_isolated = self.is_isolated(now);
-        (self.now, self.last_contact) = (now, now.steady);
+        (self.now, self.contact.last_received) = (now, now.steady);
         if was_isolated {
-            self.comparing_until = now.steady + COMPARING_PERIOD;
+            self.contact.comparing_until = now.steady + COMPARING_PERIOD;
             self.catch_up();
         }
     }
@@ -139,18 +140,19 @@
     /// Whether it knows other gateways and has received nothing from anybody for a while: a partition has cut it off, or it is
     /// the only one left. A process that still leads the configuration's shard then is a quorum by itself, and not isolated.
     pub(crate) fn is_isolated(&self, now: Now) -> bool {
-        let hears_nobody = self.has_known_gateways && now.steady - self.last_contact > ISOLATION_TIMEOUT;
+        let hears_nobody =
+            self.peers.has_gateways && now.steady - self.contact.last_received > ISOLATION_TIMEOUT;
         hears_nobody && !self.shards.get(&CONTROL).is_some_and(|shard| shard.replica.is_serving_leader())
     }
 
     /// Whether it may be given clients: it has a configuration, has met others or is alone, and is not isolated (among live
     /// peers something arrives several times a second). After an isolation it has compared its state with others first.
     pub fn is_ready(&self, now: Now) -> bool {
-        if self.is_isolated(now) || now.steady < self.comparing_until {
+        if self.is_isolated(now) || now.steady < self.contact.comparing_until {
             return false;
         }
         let now = now.steady;
-        let has_met_peers = self.caught_up_at.is_some_and(|at| now - at > CATCH_UP_PERIOD);
-        self.configuration.is_some() && (has_met_peers || now - self.started_at > ALONE_AFTER)
+        let has_met_peers = self.contact.caught_up_at.is_some_and(|at| now - at > CATCH_UP_PERIOD);
+        self.configuration.is_some() && (has_met_peers || now - self.contact.started_at > ALONE_AFTER)
     }
 }
--- a/crates/coordinator/tests/format.rs
+++ b/crates/coordinator/tests/format.rs
@@ -40,18 +40,18 @@
     let nobody = PeerAddress { ip: [0; 4], port: 0 };
     vec![
         ("Gossip", Head::Gossip),
-        ("Group", Head::Group { shard: 0x0102 }),
-        ("Ask", Head::Ask { nonce: 0x0102_0304_0506_0708, shard: 3 }),
+        ("Group", Head::Consensus { shard: 0x0102 }),
+        ("Ask", Head::Call { nonce: 0x0102_0304_0506_0708, shard: 3 }),
         ("Answer", Head::Answer { nonce: 9, status: 202, retry_ms: 0x0102_0304, json: 1 }),
-        ("Elsewhere", Head::Elsewhere { nonce: 9, proposed: 1, leader: place(4) }),
-        ("Elsewhere", Head::Elsewhere { nonce: 9, proposed: 0, leader: nobody }),
+        ("Elsewhere", Head::NotLeader { nonce: 9, proposed: 1, leader: place(4) }),
+        ("Elsewhere", Head::NotLeader { nonce: 9, proposed: 0, leader: nobody }),
         ("Relay", Head::Relay { nonce: 9, shard: 4, within_ms: 3_000, slack_ms: 200, unclear: 503 }),
     ]
 }
 
 fn seated() -> Request {
-    let seats = encode_members(&group(&[4, 5, 6]));
-    Request::Seated { shard: 2, term: 3, index: 70, retirements: 1, count: 3, seats }
+    let members = encode_members(&group(&[4, 5, 6]));
+    Request::ReportReplicaSet { shard: 2, term: 3, index: 70, retirements: 1, member_count: 3, members }
 }
 
 fn requests() -> Vec<(&'static str, Request)> {
@@ -61,9 +61,9 @@
         ("Configure", Request::Configure { base: 5 }),
         ("Configuration", Request::Configuration),
         ("Retire", Request::Retire { store: "storage-4".into() }),
-        ("Retiring", Request::Retiring { store: "".into() }),
-        ("Join", Request::Join { seat: seat(1) }),
-        ("Shelve", Request::Shelve { seat: seat(4) }),
+        ("Retiring", Request::RetirementStatus { store: "".into() }),
+        ("Join", Request::Join { member: seat(1) }),
+        ("Shelve", Request::RegisterStore { member: seat(4) }),
         ("Seated", seated()),
         ("Locate", Request::Locate),
         ("Submit", Request::Submit { job: "job-1".into(), route: "lots".into() }),
@@ -71,15 +71,22 @@
         ("Body", Request::Body { job: "job-1".into(), item: "job-1-0".into() }),
         ("End", Request::End { job: "job-1".into() }),
         ("Reserve", reserve),
-        ("Settle", Request::Settle),
+        ("Settle", Request::ReportUsage),
     ]
 }
 
 /// Changes in an order in which each does something: two configurations, stores, groups, a retirement, a disk that is replaced.
 fn changes() -> Vec<(&'static str, Change, Bytes)> {
     let seated = |shard, places: &[usize]| {
-        let seats = encode_members(&group(places));
-        Change::Seated { shard, term: 2, index: 40, retirements: 1, count: seats.len() as u16, seats }
+        let members = encode_members(&group(places));
+        Change::SetReplicaSet {
+            shard,
+            term: 2,
+            index: 40,
+            retirements: 1,
+            member_count: members.len() as u16,
+            members,
+        }
     };
     let replaced = MemberRecord { id: 77, ..seat(5) };
     let mut changes = vec![
@@ -87,13 +94,13 @@
         ("Configure", Change::Configure { base: 5, version: 8 }, configuration(8, "clerk")),
     ];
     let rest = [
-        ("Store", Change::Store { seat: seat(4) }),
-        ("Store", Change::Store { seat: seat(5) }),
-        ("Store", Change::Store { seat: seat(6) }),
+        ("Store", Change::RegisterStore { member: seat(4) }),
+        ("Store", Change::RegisterStore { member: seat(5) }),
+        ("Store", Change::RegisterStore { member: seat(6) }),
         ("Seated", Change::founded(1, &group(&[4, 5, 6]))),
         ("Retire", Change::Retire { store: "storage-4".into() }),
         ("Seated", seated(1, &[5, 6])),
-        ("Store", Change::Store { seat: replaced }),
+        ("Store", Change::RegisterStore { member: replaced }),
         ("Fence", Change::Fence { disk: member(4).id }),
     ];
     changes.extend(rest.map(|(kind, change)| (kind, change, Bytes::new())));
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -13,7 +13,7 @@
 use rainlug::Time;
 use rainlug_batch::{ItemRun, RunOutcome};
 use rainlug_coordinator::{
-    Answer, Call, Coordinator, Effect, KEEP_SLACK, NodeInfo, Now, ProcessRole, founding_id,
+    Answer, Call, Coordinator, Effect, NodeInfo, Now, ProcessRole, RETENTION_SLACK, founding_id,
 };
 use rainlug_fleet::envelope::{Envelope, MOST};
 use rainlug_gateway::{Gateway, Item, RanEnd, Reply, Replying};
@@ -32,6 +32,7 @@
 use crate::disk::{Disk, PartLog, Told};
 use crate::log;
 use crate::peers::Peers;
+
 use crate::settings::{self, Settings};
 use crate::step_times::StepTimes;
 
@@ -58,14 +59,8 @@
     }
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
-    Gateway,
-    Store,
-}
-
 pub struct Node {
-    role: Role,
+    role: ProcessRole,
     clock: Clock,
     coordinator: RefCell<Coordinator>,
     socket: UdpSocket,
@@ -118,12 +113,12 @@
     ///
     /// # Errors
     /// Where settings, sockets or disk cannot be used.
-    pub async fn run(role: Role, settings: Settings, mechanisms: Mechanisms) -> Result<(), Error> {
+    pub async fn run(role: ProcessRole, settings: Settings, mechanisms: Mechanisms) -> Result<(), Error> {
         let clock = Clock::start();
         let (saved, mut on_disk) = mpsc::unbounded_channel::<Told>();
-        let peer = settings.peer();
-        let seeds = settings.seed_peers();
-        let founds = settings.first_boot && role == Role::Gateway && seeds.contains(&peer);
+        let peer = settings.peer_address();
+        let seeds = settings.seed_peer_addresses();
+        let founds = settings.first_boot && role == ProcessRole::Gateway && seeds.contains(&peer);
         let drawn = if founds { founding_id(peer) } else { draw().max(1) };
         let disk_bytes = (settings.limits.disk_mb.max(1.0) * 1e6) as u64;
         let (disk, logs) = match &settings.data_dir {
@@ -139,18 +134,18 @@
             zone: settings.zone.clone(),
             peer_address: peer,
             control_address: control_at,
-            role: if role == Role::Gateway { ProcessRole::Gateway } else { ProcessRole::Store },
+            role,
             disk: disk.as_ref().map(Disk::id),
             first_boot: settings.first_boot,
             seeds,
             tolerated_failures: settings.tolerate.machines as usize,
-            heartbeat_interval: settings.beat_ms as Time * 1000,
+            heartbeat_interval: settings.heartbeat_ms as Time * 1000,
             disk_bytes: disk_bytes as usize,
             memory_bytes: (settings.limits.memory_mb * 1e6) as usize,
             link_bytes_per_second: settings.limits.link_bytes_per_second(),
             sync_time: settings.bounds.sync_time(),
             relays_enabled: mechanisms.contains(Mechanisms::RELAYS),
-            job_retention: (settings.bounds.status_s * 1e6) as Time + KEEP_SLACK,
+            job_retention: (settings.bounds.status_s * 1e6) as Time + RETENTION_SLACK,
             seed: draw(),
         };
         let socket = UdpSocket::bind(peer).await.map_err(|e| Error::Listen(peer, e))?;
@@ -187,13 +182,13 @@
         let taken = node.clone();
         let frame = Rc::new(move |from, bytes: Bytes| {
             taken.with("frame", |coordinator, now| {
-                let _ = coordinator.frame(now, from, &bytes);
+                let _ = coordinator.receive_frame(now, from, &bytes);
             });
         });
         let tells = Rc::downgrade(&node);
         node.peers.when_broke(Rc::new(move |at| {
             if let Some(node) = tells.upgrade() {
-                node.with("unreachable", |coordinator, now| coordinator.unreachable(now, at));
+                node.with("unreachable", |coordinator, now| coordinator.peer_unreachable(now, at));
             }
         }));
         if let Some(file) = settings.fault_file {
@@ -217,7 +212,7 @@
             spawn_local(control::serve(node.clone(), listen(at).await?));
         }
         spawn_local(crate::metrics::start(node.clone(), settings.ip));
-        if role == Role::Gateway {
+        if role == ProcessRole::Gateway {
             let front = settings.listen.front.ok_or(Error::Missing("listen.front"))?;
             spawn_local(node.gateway.clone().serve(listen(front).await?, Rc::new(Desk(node.clone()))));
         }
@@ -245,7 +240,7 @@
             }
         }
         log::event("stop", "told to end");
-        if self.role == Role::Gateway {
+        if self.role == ProcessRole::Gateway {
             // Bounded by itself: it ends before the grace does.
             self.gateway.stop().await;
         }
@@ -261,7 +256,7 @@
         let begun = Instant::now();
         let result = what(&mut self.coordinator.borrow_mut(), self.clock.now());
         self.pump();
-        self.steps.ended(step, begun.elapsed());
+        self.steps.record(step, begun.elapsed());
         result
     }
 
@@ -270,14 +265,14 @@
             return;
         }
         loop {
-            let effects = self.coordinator.borrow_mut().take();
+            let effects = self.coordinator.borrow_mut().take_effects();
             if effects.is_empty() {
                 break;
             }
             effects.into_iter().for_each(|effect| self.carry_out(effect));
         }
         self.pumping.set(false);
-        if self.coordinator.borrow().next() < self.rings.get() {
+        if self.coordinator.borrow().next_timeout() < self.rings.get() {
             self.sooner.notify_one();
         }
     }
@@ -290,7 +285,7 @@
                 let _ = self.socket.try_send_to(&self.envelope.seal(&bytes), to);
             }
             Effect::Frame { to, head, tail } => self.peers.send(to, head, tail),
-            Effect::Save { shard, ticket, records } => {
+            Effect::Append { shard, ticket, records } => {
                 if let Some(disk) = self.disk.borrow_mut().as_mut() {
                     disk.save(shard, ticket, records);
                 }
@@ -300,7 +295,7 @@
                     disk.compact(shard, ticket, records, implied);
                 }
             }
-            Effect::Renew { disk } => {
+            Effect::ReplaceDiskIdentity { disk } => {
                 if let Some(Err(error)) = self.disk.borrow_mut().as_mut().map(|d| d.renew(disk)) {
                     log::error("disk", &error.to_string());
                 }
@@ -319,9 +314,9 @@
                 }
             }
             Effect::Worker(worker) => self.gateway.worker(&worker),
-            Effect::Others(count) => self.gateway.others(count),
+            Effect::PeerCount(count) => self.gateway.others(count),
             Effect::Reports(reports) => self.gateway.reported(&reports),
-            Effect::Run { shard, next } => {
+            Effect::RunItem { shard, next } => {
                 spawn_local(self.clone().item(shard, next));
             }
             Effect::Log(what, text) => log::event(what, &text),
@@ -337,7 +332,7 @@
                     log::event("disk", &format!("part {shard}: {compaction:?}, {length} bytes, {took} ms"));
                 }
                 self.with("saved", |coordinator, now| {
-                    coordinator.saved(now, shard, done.ticket, done.length)
+                    coordinator.persisted(now, shard, done.ticket, done.length)
                 });
             }
             WriterEvent::Failing(error) => log::error("disk", &format!("part {shard} waits: {error}")),
@@ -352,7 +347,7 @@
         let (waits, answered) = oneshot::channel();
         self.answers.borrow_mut().insert(ticket, waits);
         self.with("call", |coordinator, now| coordinator.call(now, ticket, call));
-        answered.await.unwrap_or_else(|_| Answer::of(503))
+        answered.await.unwrap_or_else(|_| Answer::with_status(503))
     }
 
     async fn item(self: Rc<Self>, shard: u16, next: ItemRun) {
@@ -386,7 +381,7 @@
                 (ran.events, end)
             }
         };
-        self.with("ran", |coordinator, now| coordinator.ran(now, shard, &job, &id, events, end));
+        self.with("ran", |coordinator, now| coordinator.item_finished(now, shard, &job, &id, events, end));
     }
 
     async fn datagrams(self: Rc<Self>) {
@@ -397,11 +392,13 @@
             }
             for _ in 0..BURST {
                 let Ok((length, from)) = self.socket.try_recv_from(&mut buffer) else { break };
-                if !self.peers.faults.may_hear(from) {
+                if !self.peers.faults.may_receive(from) {
                     continue;
                 }
                 if let Ok(payload) = self.envelope.open(&buffer[..length]) {
-                    self.with("datagram", |coordinator, now| coordinator.datagram(now, from, payload));
+                    self.with("datagram", |coordinator, now| {
+                        coordinator.receive_datagram(now, from, payload)
+                    });
                 }
             }
             tokio::task::yield_now().await;
@@ -419,14 +416,14 @@
 
     async fn timer(self: Rc<Self>) {
         loop {
-            let next = self.coordinator.borrow().next();
+            let next = self.coordinator.borrow().next_timeout();
             self.rings.set(next);
             tokio::select! {
                 biased;
                 () = self.sooner.notified() => continue,
                 () = sleep_until(self.clock.instant(next)) => {}
             }
-            self.with("timer", |coordinator, now| coordinator.due(now));
+            self.with("timer", |coordinator, now| coordinator.handle_timeout(now));
             // Where the next time is now already, sockets come first.
             tokio::task::yield_now().await;
         }
@@ -448,9 +445,9 @@
 fn reply(answer: Answer) -> Reply {
     Reply {
         status: answer.status,
-        retry_after: answer.retry.map(|r| r as f64 / 1e6),
+        retry_after: answer.retry_after.map(|r| r as f64 / 1e6),
         body: answer.body,
-        json: answer.json,
+        json: answer.is_json,
     }
 }
 
