--- a/crates/registry/tests/outside.rs
+++ b/crates/registry/tests/outside.rs
@@ -1,4 +1,4 @@
-//! The JSON that operators and workers send: every key, and what is said where one is absent or of another type.
+//! The JSON that operators and workers send: every key, and the outcome where one is absent or of another type.
 
 #[path = "../../../tests/common/text_fixture.rs"]
 mod fixture;
@@ -32,8 +32,8 @@
     })
 }
 
-/// What a worker tells of itself.
-fn beat() -> Value {
+/// A heartbeat with all keys that are read.
+fn heartbeat() -> Value {
     json!({"service": "model", "zone": "north", "address": "10.0.0.1:7403", "state": "draining", "slots": 8,
         "cold_left_ms": 1200, "call_seq": 9})
 }
@@ -42,11 +42,11 @@
     Bytes::from(value.to_string())
 }
 
-fn refused(findings: &Findings) -> String {
+fn rejected(findings: &Findings) -> String {
     format!("refused: {findings}")
 }
 
-/// What was read: a line for each key of the text, with its value.
+/// What was parsed: a line for each key, with its value.
 fn read(text: &Value) -> Result<Vec<String>, Findings> {
     let found = Configuration::parse(&bytes(text))?;
     let mut lines = vec![format!("version {}", found.version)];
@@ -101,33 +101,33 @@
 }
 
 #[test]
-fn every_key_of_a_configuration_is_read_by_its_name() {
-    let whole = read(&configuration()).unwrap();
-    let said = |text: &Value| match read(text) {
+fn given_a_configuration_when_any_key_is_absent_or_of_another_type_then_its_result_is_the_committed_one() {
+    let complete = read(&configuration()).unwrap();
+    let outcome = |text: &Value| match read(text) {
         Ok(lines) => {
-            let changed: Vec<String> = lines.into_iter().filter(|line| !whole.contains(line)).collect();
+            let changed: Vec<String> = lines.into_iter().filter(|line| !complete.contains(line)).collect();
             format!("taken, {}", changed.join(", "))
         }
-        Err(findings) => refused(&findings),
+        Err(findings) => rejected(&findings),
     };
-    let keys = keys::said_of_each_key(&configuration(), said);
-    fixture::assert_same("configuration.txt", &format!("{}\n\n{keys}", whole.join("\n")));
+    let keys = keys::said_of_each_key(&configuration(), outcome);
+    fixture::assert_same("configuration.txt", &format!("{}\n\n{keys}", complete.join("\n")));
 }
 
 #[test]
-fn every_key_of_a_worker_s_beat_is_read_by_its_name() {
-    let said = |text: &Value| match Worker::parse("w1", &bytes(text)) {
+fn given_a_heartbeat_when_any_key_is_absent_or_of_another_type_then_its_result_is_the_committed_one() {
+    let outcome = |text: &Value| match Worker::parse("w1", &bytes(text)) {
         Ok(w) => format!(
             "{} service {} zone {} address {} {:?} slots {} cold_left_ms {} call_seq {}",
             w.id, w.service, w.zone, w.address, w.phase, w.slots, w.warm_up_left_ms, w.call_seq
         ),
-        Err(findings) => refused(&findings),
+        Err(findings) => rejected(&findings),
     };
-    fixture::assert_same("beat.txt", &keys::said_of_each_key(&beat(), said));
+    fixture::assert_same("beat.txt", &keys::said_of_each_key(&heartbeat(), outcome));
 }
 
 #[test]
-fn keys_that_are_not_known_are_skipped() {
+fn given_unknown_keys_then_they_are_skipped() {
     let mut more = configuration();
     for outer in ["", "/routes/0", "/services/0", "/services/0/backend", "/limits"] {
         more.pointer_mut(outer).unwrap()["not_known"] = json!({"odd": true});
