--- a/crates/batch/examples/costs.rs
+++ b/crates/batch/examples/costs.rs
@@ -63,8 +63,8 @@
     );
 }
 
-/// With all items listed, each with a text of 3.3 KB.
-fn full_register(random: &mut Random) -> JobTable {
+/// With all items finished, each with a text of 3.3 KB.
+fn full_table(random: &mut Random) -> JobTable {
     let mut table = JobTable::default();
     for job in 0..JOBS {
         let item = |id: u64| Item {
@@ -106,7 +106,7 @@
         let chunk = snapshot.chunk(number);
         encode.push(start.elapsed());
         let start = Instant::now();
-        restore.add_chunk(&chunk).expect("a piece of a snapshot");
+        restore.add_chunk(&chunk).expect("a chunk of a snapshot");
         take.push(start.elapsed());
     }
     let start = Instant::now();
@@ -114,13 +114,13 @@
     let finish = start.elapsed();
     assert_eq!(restored.memory_bytes(), table.memory_bytes());
     println!(
-        "{} bytes in {} pieces; snapshot {taken:?}, finish {finish:?}",
+        "{} bytes in {} chunks; snapshot {taken:?}, finish {finish:?}",
         snapshot.encoded_len(),
         snapshot.chunk_count()
     );
     for (name, times) in [("encode", encode), ("restore", take)] {
         let sum: Duration = times.iter().sum();
-        println!("{name}: all pieces {sum:?}, the longest {:?}", times.iter().max().unwrap_or(&sum));
+        println!("{name}: all chunks {sum:?}, the longest {:?}", times.iter().max().unwrap_or(&sum));
     }
 }
 
@@ -141,5 +141,5 @@
             .collect();
         show_texts(&format!("prose, {length} bytes"), &texts);
     }
-    show_snapshot(&full_register(&mut random));
+    show_snapshot(&full_table(&mut random));
 }
--- a/crates/batch/tests/common/mod.rs
+++ b/crates/batch/tests/common/mod.rs
@@ -55,7 +55,7 @@
     }
 }
 
-pub fn list(job: &str, item: &str, text: &str) -> Command {
+pub fn finish(job: &str, item: &str, text: &str) -> Command {
     let text = StoredText::new(text.as_bytes());
     Command::FinishItem { job: job.into(), item: item.into(), outcome: ItemOutcome::Complete, text }
 }
@@ -83,7 +83,7 @@
     Some(answer)
 }
 
-/// All pieces of its snapshot.
+/// All chunks of its snapshot.
 pub fn chunks(table: &JobTable) -> Vec<Bytes> {
     let snapshot = table.snapshot();
     (0..snapshot.chunk_count()).map(|number| snapshot.chunk(number)).collect()
--- a/crates/batch/tests/format.rs
+++ b/crates/batch/tests/format.rs
@@ -1,4 +1,4 @@
-//! The bytes of batch jobs, pinned: commands, the pieces of a register's snapshot and a ledger's snapshot; and that committed
+//! The bytes of batch jobs, pinned: commands, the chunks of a job table's snapshot and a ledger's snapshot; and that committed
 //! bytes are read.
 
 mod common;
@@ -6,7 +6,7 @@
 mod fixture;
 
 use bytes::Bytes;
-use common::{DUE, ROUTE, abandon, chunks, end, item, list, read, restore, submit, submit_within};
+use common::{DUE, ROUTE, abandon, chunks, end, finish, item, read, restore, submit, submit_within};
 use rainlug::SECOND;
 use rainlug_batch::{
     Command, Item, ItemOutcome, JobTable, JobUsage, QuotaLedger, StoredText, UsageReportNumber,
@@ -20,7 +20,7 @@
     Command::Reserve { route, job, shard, tokens, max_waiting_tokens: 1000, timestamp: 3 * SECOND }
 }
 
-fn settle(shard: u16, open: &[(&str, u64)]) -> Command {
+fn report_usage(shard: u16, open: &[(&str, u64)]) -> Command {
     let usage =
         open.iter().map(|(job, tokens)| JobUsage { job: (*job).to_owned(), tokens: *tokens }).collect();
     let number = UsageReportNumber { term: 7, sequence: 9 };
@@ -40,15 +40,15 @@
         ("submit", submit("job", &["a", "b", "c"])),
         ("submit", submit_within("other", 500, DUE, vec![bare, full])),
         ("submit", submit("nothing", &[])),
-        ("list", list("job", "a", "out")),
+        ("list", finish("job", "a", "out")),
         ("list", finish_with("job", "b", ItemOutcome::Complete, long)),
         ("list", finish_with("job", "c", ItemOutcome::Complete, StoredText::plain(b"plain"))),
         ("list", abandon("other", "bare")),
         ("end", end("other")),
         ("forget", Command::Forget { before: 5 * SECOND }),
         ("reserve", reserve("job", 2, 30)),
-        ("settle", settle(2, &[("job", 20), ("other", 1)])),
-        ("settle", settle(3, &[])),
+        ("settle", report_usage(2, &[("job", 20), ("other", 1)])),
+        ("settle", report_usage(3, &[])),
     ]
 }
 
@@ -56,7 +56,7 @@
     commands().iter().map(|(kind, command)| ((*kind).to_owned(), command.encode())).collect()
 }
 
-/// Three batch jobs: one is all listed, one is open in part, one was ended.
+/// Three batch jobs: one is all finished, one has open items, one was ended.
 fn table() -> JobTable {
     let mut table = JobTable::default();
     let text = LONG_OUTPUT.repeat(20);
@@ -64,9 +64,9 @@
         submit("complete", &["a", "b"]),
         submit("open", &["c", "d", "e"]),
         submit("ended", &["f", "g"]),
-        list("complete", "a", "out of a"),
-        list("complete", "b", &text),
-        list("open", "d", "out of d"),
+        finish("complete", "a", "out of a"),
+        finish("complete", "b", &text),
+        finish("open", "d", "out of d"),
         abandon("ended", "g"),
         end("ended"),
     ];
@@ -76,7 +76,7 @@
     table
 }
 
-/// A batch job that is too long for one piece.
+/// A batch job that is too long for one chunk.
 fn long_table() -> JobTable {
     let mut table = JobTable::default();
     let items = (0..2).map(|id| Item { body: vec![b'b'; 40_000].into(), ..item(&format!("{id}"), 1) });
@@ -89,7 +89,7 @@
     for command in [reserve("job", 2, 30), reserve("late", 2, 40), reserve("far", 4, 500)] {
         quota_ledger.apply(&command);
     }
-    quota_ledger.apply(&settle(2, &[("job", 20)]));
+    quota_ledger.apply(&report_usage(2, &[("job", 20)]));
     quota_ledger
 }
 
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn given_a_register_then_its_pieces_are_the_committed_ones_and_make_the_same_register() {
+fn given_a_job_table_then_its_chunks_are_the_committed_ones_and_restore_the_same_table() {
     let made = chunks(&table()).into_iter().map(|chunk| ("piece".to_owned(), chunk));
     let committed = fixture::pin("register", &made.collect::<Vec<_>>());
     let restored = restore(&fixture::of_kind(&committed, "piece")).unwrap();
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn given_a_register_of_several_pieces_then_each_begins_and_ends_as_committed() {
+fn given_a_job_table_of_several_chunks_then_each_begins_and_ends_as_committed() {
     // The bodies between are all one letter.
     let edges = |chunk: Bytes| {
         let end = chunk.len().saturating_sub(200);
@@ -141,7 +141,7 @@
         [length, start, ("end".to_owned(), chunk.slice(end..))]
     };
     let made: fixture::Lines = chunks(&long_table()).into_iter().flat_map(edges).collect();
-    assert_eq!(made.len(), 3 * 3, "a header and two pieces");
+    assert_eq!(made.len(), 3 * 3, "a header and two chunks");
     fixture::pin("long_register", &made);
 }
 
--- a/crates/batch/tests/job_table.rs
+++ b/crates/batch/tests/job_table.rs
@@ -1,16 +1,16 @@
-//! What the register does with commands, and what a client reads of it.
+//! What the job table does with commands, and what a client reads of it.
 
 mod common;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use bytes::Bytes;
-use common::{ROUTE, abandon, chunks, end, item, list, read, restore, submit, submit_within};
+use common::{ROUTE, abandon, chunks, end, finish, item, read, restore, submit, submit_within};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rainlug::SECOND;
 use rainlug_batch::{
-    Applied, Command, Item, ItemOutcome, ItemTotals, JobTable, OutputPage, StoredText, parse_submission,
+    Applied, Command, ItemOutcome, ItemTotals, JobTable, OutputPage, StoredText, parse_submission,
 };
 
 fn after(commands: &[Command]) -> JobTable {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_batch_job_is_accepted_once() {
+fn given_an_accepted_job_when_submitted_again_then_it_is_already_accepted() {
     let mut table = JobTable::default();
     assert_eq!(table.apply(&submit("l", &["a", "b"])), Applied::Accepted);
     assert_eq!(table.apply(&submit("l", &["a", "b"])), Applied::AlreadyAccepted);
@@ -35,13 +35,13 @@
 }
 
 #[test]
-fn outputs_stand_in_the_order_of_their_listing() {
+fn given_items_that_finish_then_outputs_are_in_the_order_of_finishing() {
     let mut table = after(&[submit("l", &["a", "b", "c"])]);
-    assert_eq!(table.apply(&list("l", "c", "text of c")), Applied::ItemFinished { position: 0 });
+    assert_eq!(table.apply(&finish("l", "c", "text of c")), Applied::ItemFinished { position: 0 });
     assert_eq!(table.apply(&abandon("l", "a")), Applied::ItemFinished { position: 1 });
-    assert_eq!(table.apply(&list("l", "a", "late")), Applied::NoChange);
-    assert_eq!(table.apply(&list("l", "x", "")), Applied::NoChange);
-    assert_eq!(table.apply(&list("m", "a", "")), Applied::NoChange);
+    assert_eq!(table.apply(&finish("l", "a", "late")), Applied::NoChange);
+    assert_eq!(table.apply(&finish("l", "x", "")), Applied::NoChange);
+    assert_eq!(table.apply(&finish("m", "a", "")), Applied::NoChange);
     let answer = table.read_outputs("l", 0).unwrap().json;
     let outputs =
         r#"{"id":"c","state":"complete","prompt":"text of c"},{"id":"a","state":"abandoned","prompt":""}"#;
@@ -51,8 +51,8 @@
 }
 
 #[test]
-fn a_read_past_the_outputs_gives_none() {
-    let table = after(&[submit("l", &["a", "b"]), list("l", "a", "")]);
+fn given_a_read_past_the_outputs_then_the_page_is_empty() {
+    let table = after(&[submit("l", &["a", "b"]), finish("l", "a", "")]);
     for since in [1, 2, 7] {
         let answer = read(&table, "l", since).unwrap();
         assert_eq!((answer.grand_total, answer.next_token, answer.outputs.len()), (2, since, 0));
@@ -67,15 +67,15 @@
 }
 
 #[test]
-fn a_read_gives_a_megabyte_at_most_but_one_output_at_least() {
+fn given_large_outputs_then_a_page_has_a_megabyte_at_most_but_one_output_at_least() {
     let (half, huge) = ("h".repeat(400_000), "\n".repeat(1_500_000));
     let table = after(&[
         submit("l", &["a", "b", "c", "d", "e"]),
-        list("l", "a", &half),
-        list("l", "b", &half),
-        list("l", "c", &half),
-        list("l", "d", &huge),
-        list("l", "e", ""),
+        finish("l", "a", &half),
+        finish("l", "b", &half),
+        finish("l", "c", &half),
+        finish("l", "d", &huge),
+        finish("l", "e", ""),
     ]);
     let counts: Vec<_> = (0..=5).map(|since| read(&table, "l", since).unwrap().outputs.len()).collect();
     assert_eq!(counts, [2, 2, 1, 1, 1, 0]);
@@ -84,19 +84,19 @@
 }
 
 #[test]
-fn the_megabyte_counts_what_is_escaped() {
+fn given_texts_with_escapes_then_the_page_limit_counts_the_escaped_text() {
     let feeds = "\n".repeat(300_000);
-    let table = after(&[submit("l", &["a", "b"]), list("l", "a", &feeds), list("l", "b", &feeds)]);
+    let table = after(&[submit("l", &["a", "b"]), finish("l", "a", &feeds), finish("l", "b", &feeds)]);
     assert_eq!(read(&table, "l", 0).unwrap().outputs.len(), 1);
 }
 
 #[test]
-fn a_body_is_there_until_its_item_is_listed_or_its_batch_job_ended() {
+fn given_an_open_item_then_its_body_is_kept_until_it_finishes_or_its_job_ends() {
     let mut table = after(&[submit("l", &["a", "b"])]);
     assert_eq!(table.item_body("l", "a"), Some(Bytes::from("body of a")));
     assert_eq!(table.item_body("l", "x"), None);
     assert_eq!(table.item_body("m", "a"), None);
-    table.apply(&list("l", "a", ""));
+    table.apply(&finish("l", "a", ""));
     assert_eq!(table.item_body("l", "a"), None);
     assert_eq!(table.item_body("l", "b"), Some(Bytes::from("body of b")));
     table.apply(&end("l"));
@@ -104,18 +104,18 @@
 }
 
 #[test]
-fn what_was_listed_stays_after_the_end() {
-    let mut table = after(&[submit("l", &["a", "b"]), list("l", "a", "text")]);
+fn given_a_job_with_an_output_when_it_ends_then_the_output_stays() {
+    let mut table = after(&[submit("l", &["a", "b"]), finish("l", "a", "text")]);
     let before = table.read_outputs("l", 0);
     assert_eq!(table.apply(&end("l")), Applied::Ended);
     assert_eq!(table.apply(&end("l")), Applied::Ended);
     assert_eq!(table.apply(&end("m")), Applied::NoChange);
-    assert_eq!(table.apply(&list("l", "b", "late")), Applied::NoChange);
+    assert_eq!(table.apply(&finish("l", "b", "late")), Applied::NoChange);
     assert_eq!(table.read_outputs("l", 0), before);
 }
 
 #[test]
-fn tokens_wait_until_listed_or_ended() {
+fn given_open_items_then_their_tokens_wait_until_finished_or_ended() {
     let mut table = JobTable::default();
     let mut take = |command: &Command| (table.apply(command), table.waiting_tokens(ROUTE));
     let job = |job, tokens| submit_within(job, 100, common::DUE, vec![item("a", tokens), item("b", 10)]);
@@ -123,7 +123,7 @@
     assert_eq!(take(&job("m", 31)), (Applied::OverQuota, 60));
     assert_eq!(take(&job("m", 30)), (Applied::Accepted, 100));
     assert_eq!(take(&job("l", 50)), (Applied::AlreadyAccepted, 100));
-    assert_eq!(take(&list("l", "a", "")).1, 50);
+    assert_eq!(take(&finish("l", "a", "")).1, 50);
     assert_eq!(take(&end("m")).1, 10);
     assert_eq!(take(&abandon("l", "b")).1, 0);
     // No limit, and more than a count holds.
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_batch_job_over_quota_is_not_known() {
+fn given_a_job_over_quota_then_the_table_is_unchanged() {
     let mut table = JobTable::default();
     let job = submit_within("l", 9, common::DUE, vec![item("a", 10)]);
     assert_eq!(table.apply(&job), Applied::OverQuota);
@@ -144,19 +144,23 @@
 }
 
 #[test]
-fn an_item_twice_is_not_taken() {
+fn given_a_job_with_a_duplicate_item_then_it_is_not_accepted() {
     let mut table = JobTable::default();
     assert_eq!(table.apply(&submit("l", &["a", "a"])), Applied::NoChange);
     assert!(!table.contains_job("l"));
 }
 
 #[test]
-fn old_batch_jobs_are_forgotten_once_nothing_of_them_is_to_come() {
-    let commands =
-        [submit("open", &["a"]), submit("listed", &["a"]), submit("ended", &["a"]), list("listed", "a", "")];
+fn given_old_jobs_when_forgetting_then_only_closed_ones_go() {
+    let commands = [
+        submit("open", &["a"]),
+        submit("finished", &["a"]),
+        submit("ended", &["a"]),
+        finish("finished", "a", ""),
+    ];
     let mut table = after(&commands);
     table.apply(&end("ended"));
-    let known = |table: &JobTable| ["open", "listed", "ended"].map(|job| table.contains_job(job));
+    let known = |table: &JobTable| ["open", "finished", "ended"].map(|job| table.contains_job(job));
     table.apply(&Command::Forget { before: SECOND });
     assert_eq!(known(&table), [true, true, true]);
     table.apply(&Command::Forget { before: SECOND + 1 });
@@ -165,20 +169,20 @@
 }
 
 #[test]
-fn its_size_goes_up_and_down_with_what_it_holds() {
+fn given_a_large_body_then_memory_bytes_follow_its_life() {
     let mut table = JobTable::default();
     let mut large = item("a", 1);
     large.body = Bytes::from(vec![0; 100_000]);
     table.apply(&submit_within("l", 0, common::DUE, vec![large]));
     assert!(table.memory_bytes() >= 100_000);
-    table.apply(&list("l", "a", "short"));
+    table.apply(&finish("l", "a", "short"));
     assert!(table.memory_bytes() < 2_000);
     table.apply(&Command::Forget { before: 2 * SECOND });
     assert_eq!(table.memory_bytes(), 0);
 }
 
 #[test]
-fn a_length_beyond_the_bytes_takes_no_memory() {
+fn given_a_forged_count_when_decoding_then_no_memory_is_reserved() {
     // A batch job's id of 4 GB.
     assert!(Command::decode(&Bytes::from_static(&[2, 0xff, 0xff, 0xff, 0xff, b'l'])).is_err());
     // Four thousand million items.
@@ -186,7 +190,7 @@
     submit.extend([0; 12 + 3 * 8 + 4 + 8]);
     submit.extend([0xff; 4]);
     assert!(Command::decode(&submit.into()).is_err());
-    // Four thousand million records in the first piece of a snapshot.
+    // Four thousand million records in the first chunk of a snapshot.
     assert!(restore(&[Bytes::from_static(&[0, 0, 0, 0, 0xff, 0xff, 0xff, 0xff])]).is_err());
 }
 
@@ -204,7 +208,7 @@
 }
 
 #[test]
-fn one_command_forgets_a_bounded_number_and_the_next_ones_the_rest() {
+fn given_many_closed_jobs_then_each_forget_is_bounded_and_the_next_goes_on() {
     let mut table = many_ended(200);
     let known = |table: &JobTable| (0..200).filter(|id| table.contains_job(&format!("{id:05}"))).count();
     let mut counts = vec![known(&table)];
@@ -218,7 +222,7 @@
 }
 
 #[test]
-fn those_sent_first_are_forgotten_first() {
+fn given_closed_jobs_when_forgetting_then_the_earliest_submitted_go_first() {
     let mut table = many_ended(100);
     let mut older = submit("older", &["a"]);
     if let Command::Submit { submitted_at, .. } = &mut older {
@@ -234,93 +238,6 @@
     assert_eq!(chunks(&table), chunks(&restored));
 }
 
-fn request(field: &str, value: &str) -> String {
-    let mut fields = BTreeMap::from([
-        ("id", r#""a""#),
-        ("path", r#""/bulk/3?q=1""#),
-        ("headers", r#"{"X-Rainlug-Token-Count":"540,400","X-Rainlug-Model":"m"}"#),
-        ("body", r#""q83vEjRWeJA=""#),
-        ("token_count", "940"),
-    ]);
-    fields.insert(field, value);
-    let fields: Vec<_> = fields
-        .iter()
-        .filter(|(_, value)| !value.is_empty())
-        .map(|(name, value)| format!(r#""{name}":{value}"#))
-        .collect();
-    format!("{{{}}}", fields.join(","))
-}
-
-fn requests(all: &[String]) -> String {
-    format!(r#"{{"requests":[{}]}}"#, all.join(","))
-}
-
-#[test]
-fn a_submission_is_read() {
-    let known = vec![Item {
-        id: "a".into(),
-        path: "/bulk/3?q=1".into(),
-        headers: vec![
-            ("X-Rainlug-Model".into(), "m".into()),
-            ("X-Rainlug-Token-Count".into(), "540,400".into()),
-        ],
-        body: Bytes::from_static(&[0xab, 0xcd, 0xef, 0x12, 0x34, 0x56, 0x78, 0x90]),
-        token_count: 940,
-    }];
-    assert_eq!(parse_submission(requests(&[request("", "")]).as_bytes()).unwrap(), known);
-    let besides = requests(&[request("more", r#"[{"a":[]},"\ud83d\ude00",-1.5e3,null,true]"#)]);
-    let besides = format!(r#" {{ "other" : {{"requests":[1]}} , {}"#, &besides[1..]);
-    assert_eq!(parse_submission(besides.as_bytes()).unwrap(), known);
-    let bare = parse_submission(requests(&[request("headers", "")]).as_bytes()).unwrap();
-    assert!(bare[0].headers.is_empty());
-    let many: Vec<_> = (0..200).map(|i| request("id", &format!(r#""{i}""#))).collect();
-    let found = parse_submission(requests(&many).as_bytes()).unwrap();
-    assert!(found.iter().map(|item| &item.id).eq(&(0..200).map(|i| i.to_string()).collect::<Vec<_>>()));
-}
-
-#[test]
-fn a_wrong_submission_is_told_with_its_place() {
-    let many: Vec<_> = (0..201).map(|i| request("id", &format!(r#""{i}""#))).collect();
-    let ok = request("id", r#""ok""#);
-    let second = |field, value| requests(&[ok.clone(), request(field, value)]);
-    for (body, what) in [
-        (requests(&[]), "requests: 0"),
-        (requests(&many), "requests: 201"),
-        (second("id", r#""ok""#), "requests[1].id"),
-        (second("id", r#""""#), "requests[1].id"),
-        (second("id", r#""a\nb""#), "requests[1].id"),
-        (second("path", r#""bulk""#), "requests[1].path"),
-        (second("path", r#""/a HTTP/1.1\r\nb""#), "requests[1].path"),
-        (second("headers", r#"{"a b":"c"}"#), "requests[1].headers"),
-        (second("headers", r#"{"a":"b\r\nc: d"}"#), "requests[1].headers"),
-        (second("body", r#""q83""#), "requests[1].body"),
-        (second("body", ""), "body"),
-        (second("token_count", ""), "token_count"),
-        (second("token_count", "-1"), "integer"),
-        (second("token_count", r#""1""#), "integer"),
-        (String::new(), "not JSON from byte 0"),
-        (r#"{"requests":[]} x"#.into(), "not JSON from byte 16"),
-        // These must not be given to the reader as they are: it panics or never ends.
-        (r#"{"a":}"#.into(), "not JSON from byte 5"),
-        (r#"{"a":["#.into(), "not JSON from byte 6"),
-        (format!(r#"{{"a":{}1}}"#, "/**/".repeat(100_000)), "not JSON from byte 5"),
-        (r#"{"requests":"a"}"#.into(), "["),
-        ("{}".into(), "requests"),
-        ("[".repeat(1_000_000), "not JSON from byte 1000000"),
-    ] {
-        let shown = &body[..body.len().min(200)];
-        let told = parse_submission(body.as_bytes()).expect_err(shown).to_string();
-        assert!(told.contains(what), "{shown}: {told}");
-    }
-    assert!(parse_submission(b"{\"requests\":\"\xff\"}").is_err());
-}
-
-#[test]
-fn a_deep_field_besides_is_skipped() {
-    let deep = format!("{}{}", "[".repeat(100_000), "]".repeat(100_000));
-    assert!(parse_submission(requests(&[request("deep", &deep)]).as_bytes()).is_ok());
-}
-
 fn settings(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -351,7 +268,7 @@
             items: tokens.into_iter().map(|(id, tokens)| item(id, tokens)).collect(),
         },
     );
-    let list = (job.clone(), prop::sample::select(&ITEMS), any::<bool>(), any::<Vec<u8>>()).prop_map(
+    let finish = (job.clone(), prop::sample::select(&ITEMS), any::<bool>(), any::<Vec<u8>>()).prop_map(
         |(job, item, is_complete, text)| Command::FinishItem {
             job: job.to_owned(),
             item: item.to_owned(),
@@ -361,7 +278,7 @@
     );
     let end = job.prop_map(|job| Command::End { job: job.to_owned(), timestamp: 0 });
     let forget = (0_i64..100).prop_map(|before| Command::Forget { before });
-    prop::collection::vec(prop_oneof![4 => submit, 10 => list, 1 => end, 1 => forget], 0..60)
+    prop::collection::vec(prop_oneof![4 => submit, 10 => finish, 1 => end, 1 => forget], 0..60)
 }
 
 /// The plain model of one batch job.
@@ -431,14 +348,14 @@
     }
 }
 
-fn word(state: ItemOutcome) -> &'static str {
+fn state_name(state: ItemOutcome) -> &'static str {
     match state {
         ItemOutcome::Complete => "complete",
         ItemOutcome::Abandoned => "abandoned",
     }
 }
 
-/// All that can be asked of two registers is the same.
+/// All that can be asked of two tables is the same.
 fn assert_same(a: &JobTable, b: &JobTable) {
     for job in JOBS {
         assert_eq!(a.contains_job(job), b.contains_job(job));
@@ -457,7 +374,7 @@
     /// The plain model sums and searches anew at each step. So no item stands at two positions, the quota is never passed, and
     /// nothing that fits is refused.
     #[test]
-    fn it_does_what_the_plain_model_does(commands in commands()) {
+    fn given_any_commands_then_the_table_does_as_the_plain_model(commands in commands()) {
         let mut table = JobTable::default();
         let mut jobs = BTreeMap::new();
         for command in &commands {
@@ -478,7 +395,7 @@
                 };
                 let answer = read(&table, id, 0).unwrap();
                 prop_assert_eq!(answer.grand_total, job.tokens.len() as u64);
-                let known: Vec<_> = job.finished.iter().map(|(id, state, text)| (&**id, word(*state), &**text)).collect();
+                let known: Vec<_> = job.finished.iter().map(|(id, state, text)| (&**id, state_name(*state), &**text)).collect();
                 let found: Vec<_> = answer.outputs.iter().map(|o| (&*o.id, &*o.state, &*o.prompt)).collect();
                 prop_assert_eq!(found, known);
                 for since in 0..6 {
@@ -496,7 +413,7 @@
 
     /// A replica that plays the log, one that plays the log from its bytes, and one that goes on from a snapshot are the same.
     #[test]
-    fn replicas_are_the_same(commands in commands(), at in any::<prop::sample::Index>()) {
+    fn given_the_same_commands_then_replicas_are_equal(commands in commands(), at in any::<prop::sample::Index>()) {
         let played = after(&commands);
         let decoded: Vec<_> = commands.iter().map(|c| Command::decode(&c.encode()).unwrap()).collect();
         prop_assert_eq!(&decoded, &commands);
@@ -510,7 +427,7 @@
     }
 
     #[test]
-    fn a_position_never_changes(commands in commands()) {
+    fn given_any_commands_then_an_output_keeps_its_position(commands in commands()) {
         let mut table = JobTable::default();
         let mut seen: BTreeMap<&str, Vec<common::Output>> = BTreeMap::new();
         for command in &commands {
@@ -527,8 +444,8 @@
     }
 
     #[test]
-    fn odd_texts_come_through(text in any::<String>(), id in "\\PC{1,8}", controls in "[\\x00-\\x1f\"\\\\\\x7f\u{2028}é😀]{0,40}") {
-        let table = after(&[submit("l", &[&id, "other"]), list("l", &id, &text), list("l", "other", &controls)]);
+    fn given_texts_of_any_characters_then_a_read_returns_them_unchanged(text in any::<String>(), id in "\\PC{1,8}", controls in "[\\x00-\\x1f\"\\\\\\x7f\u{2028}é😀]{0,40}") {
+        let table = after(&[submit("l", &[&id, "other"]), finish("l", &id, &text), finish("l", "other", &controls)]);
         if id != "other" {
             let answer = read(&table, "l", 0).unwrap();
             prop_assert_eq!(&answer.outputs[0].id, &id);
@@ -538,7 +455,7 @@
     }
 
     #[test]
-    fn garbage_is_refused_without_a_panic(bytes in any::<Vec<u8>>(), json in "[\\[\\]{}:,\"\\\\/*a0-9.eE+ -]{0,40}", tag in 0_u8..4) {
+    fn given_garbage_then_it_is_rejected_without_a_panic(bytes in any::<Vec<u8>>(), json in "[\\[\\]{}:,\"\\\\/*a0-9.eE+ -]{0,40}", tag in 0_u8..4) {
         let _ = parse_submission(&bytes);
         let _ = parse_submission(json.as_bytes());
         let _ = parse_submission(format!("{{\"requests\":[{{\"id\":{json}}}],\"more\":{json}}}").as_bytes());
@@ -548,14 +465,14 @@
         let _ = StoredText::from_stored(tagged).map(|text| text.text().is_ok());
         prop_assert!(restore(&[bytes.clone().into()]).is_err());
         let header = chunks(&after(&[submit("l", &["a"])])).swap_remove(0);
-        // The number and count of a second piece before it.
+        // The number and count of a second chunk before it.
         let second = Bytes::from([&[1, 0, 0, 0, 1, 0, 0, 0, tag], &bytes[..]].concat());
         prop_assert!(restore(&[header, second]).is_err());
     }
 
     /// What a harmed snapshot gives, if it is taken, can be used.
     #[test]
-    fn a_harmed_snapshot_does_no_harm(commands in commands(), more in commands(), at in any::<prop::sample::Index>(), flip in 1_u8..) {
+    fn given_a_corrupt_snapshot_then_what_it_restores_can_be_used(commands in commands(), more in commands(), at in any::<prop::sample::Index>(), flip in 1_u8..) {
         let mut harmed = chunks(&after(&commands));
         let which = at.index(harmed.len());
         let mut bytes = harmed[which].to_vec();
--- a/crates/batch/tests/outside.rs
+++ b/crates/batch/tests/outside.rs
@@ -26,12 +26,12 @@
 }
 
 #[test]
-fn every_key_of_a_batch_job_is_read_by_its_name() {
+fn given_a_key_absent_or_of_another_type_then_the_answer_is_as_committed() {
     fixture::assert_same("submission.txt", &keys::said_of_each_key(&submission(), said));
 }
 
 #[test]
-fn keys_that_are_not_known_are_skipped() {
+fn given_unknown_keys_then_they_are_skipped() {
     let mut more = submission();
     more["not_known"] = json!({"odd": true});
     more["requests"][0]["not_known"] = json!([1]);
--- a/crates/batch/tests/quota_ledger.rs
+++ b/crates/batch/tests/quota_ledger.rs
@@ -9,15 +9,15 @@
 use rainlug_batch::{Command, JobUsage, QuotaLedger, QuotaOutcome, RESERVATION_GRACE, UsageReportNumber};
 
 const ROUTE: &str = "bulk";
-const MOST: u64 = 1000;
+const MAX_TOKENS: u64 = 1000;
 const GRACE_SECONDS: Time = RESERVATION_GRACE / SECOND;
 
 fn reserve(job: &str, shard: u16, tokens: u64, second: Time) -> Command {
     let (route, job, at) = (ROUTE.to_owned(), job.to_owned(), second * SECOND);
-    Command::Reserve { route, job, shard, tokens, max_waiting_tokens: MOST, timestamp: at }
+    Command::Reserve { route, job, shard, tokens, max_waiting_tokens: MAX_TOKENS, timestamp: at }
 }
 
-fn settle(shard: u16, term: u64, sequence: u64, second: Time, open: &[(&str, u64)]) -> Command {
+fn report_usage(shard: u16, term: u64, sequence: u64, second: Time, open: &[(&str, u64)]) -> Command {
     let open =
         open.iter().map(|(job, tokens)| JobUsage { job: (*job).to_owned(), tokens: *tokens }).collect();
     let number = UsageReportNumber { term, sequence };
@@ -31,95 +31,97 @@
 }
 
 #[test]
-fn the_quota_is_kept_exactly_over_all_parts() {
+fn given_reservations_of_all_shards_then_the_quota_is_exact() {
     let mut quota_ledger = after(&[reserve("a", 1, 400, 1), reserve("b", 2, 500, 1)]);
     assert_eq!(quota_ledger.apply(&reserve("c", 3, 101, 1)), Some(QuotaOutcome::Refused));
     assert_eq!(quota_ledger.apply(&reserve("c", 3, 100, 1)), Some(QuotaOutcome::Granted));
-    assert_eq!(quota_ledger.route_tokens(ROUTE), MOST);
-    assert!(!quota_ledger.can_reserve(ROUTE, "d", 4, 1, MOST));
+    assert_eq!(quota_ledger.route_tokens(ROUTE), MAX_TOKENS);
+    assert!(!quota_ledger.can_reserve(ROUTE, "d", 4, 1, MAX_TOKENS));
     assert!(quota_ledger.can_reserve(ROUTE, "d", 4, 1, 0), "no limit");
-    assert!(quota_ledger.can_reserve("another", "d", 4, MOST, MOST));
-    assert!(!quota_ledger.can_reserve("another", "d", 4, MOST + 1, MOST));
+    assert!(quota_ledger.can_reserve("another", "d", 4, MAX_TOKENS, MAX_TOKENS));
+    assert!(!quota_ledger.can_reserve("another", "d", 4, MAX_TOKENS + 1, MAX_TOKENS));
 }
 
 #[test]
-fn the_same_batch_job_is_granted_again_and_counted_once() {
+fn given_a_reserved_job_when_reserved_again_then_it_is_granted_and_counted_once() {
     let mut quota_ledger = after(&[reserve("a", 1, 900, 1)]);
     assert_eq!(quota_ledger.apply(&reserve("a", 1, 900, 2)), Some(QuotaOutcome::Granted));
     assert_eq!(quota_ledger.apply(&reserve("a", 1, 300, 2)), Some(QuotaOutcome::Granted));
     assert_eq!(quota_ledger.route_tokens(ROUTE), 900, "as first reserved");
     assert_eq!(quota_ledger.apply(&reserve("a", 1, 1001, 2)), Some(QuotaOutcome::Refused), "it has grown");
     assert_eq!(quota_ledger.apply(&reserve("a", 1, 1000, 2)), Some(QuotaOutcome::Granted));
-    assert_eq!(quota_ledger.route_tokens(ROUTE), MOST);
+    assert_eq!(quota_ledger.route_tokens(ROUTE), MAX_TOKENS);
 }
 
 #[test]
-fn a_report_gives_back_what_waits_no_more() {
+fn given_a_report_then_tokens_that_no_longer_wait_are_released() {
     let mut quota_ledger =
         after(&[reserve("a", 1, 400, 1), reserve("b", 1, 100, 1), reserve("c", 2, 100, 1)]);
-    quota_ledger.apply(&settle(1, 1, 1, 2, &[("a", 300), ("b", 100)]));
+    quota_ledger.apply(&report_usage(1, 1, 1, 2, &[("a", 300), ("b", 100)]));
     assert_eq!(quota_ledger.route_tokens(ROUTE), 500);
-    quota_ledger.apply(&settle(1, 1, 2, 3, &[("b", 50)]));
-    assert_eq!(quota_ledger.route_tokens(ROUTE), 150, "part 2 has not reported");
-    quota_ledger.apply(&settle(1, 1, 3, 4, &[]));
+    quota_ledger.apply(&report_usage(1, 1, 2, 3, &[("b", 50)]));
+    assert_eq!(quota_ledger.route_tokens(ROUTE), 150, "shard 2 has not reported");
+    quota_ledger.apply(&report_usage(1, 1, 3, 4, &[]));
     assert_eq!(quota_ledger.route_tokens(ROUTE), 100);
 }
 
 #[test]
-fn a_reservation_that_no_report_has_named_is_kept_for_its_grace() {
-    let mut quota_ledger = after(&[reserve("a", 1, 400, 1), settle(1, 1, 1, GRACE_SECONDS, &[])]);
+fn given_an_unreported_reservation_then_it_is_kept_for_its_grace() {
+    let mut quota_ledger = after(&[reserve("a", 1, 400, 1), report_usage(1, 1, 1, GRACE_SECONDS, &[])]);
     assert_eq!(quota_ledger.route_tokens(ROUTE), 400);
-    quota_ledger.apply(&settle(1, 1, 2, 1 + GRACE_SECONDS, &[]));
+    quota_ledger.apply(&report_usage(1, 1, 2, 1 + GRACE_SECONDS, &[]));
     assert_eq!(quota_ledger.route_tokens(ROUTE), 0);
 }
 
 #[test]
-fn a_reservation_whose_batch_job_has_finished_is_released_at_once() {
+fn given_a_reservation_whose_job_finished_then_it_is_released_at_once() {
     let quota_ledger = after(&[
         reserve("a", 1, 400, 1),
         reserve("b", 1, 100, 1),
         reserve("c", 2, 10, 1),
-        settle(1, 1, 1, 1, &[("a", 0)]),
+        report_usage(1, 1, 1, 1, &[("a", 0)]),
     ]);
-    assert_eq!(quota_ledger.route_tokens(ROUTE), 110, "of b no report has told");
+    assert_eq!(quota_ledger.route_tokens(ROUTE), 110, "no report has named b");
 }
 
 #[test]
-fn a_reservation_made_again_has_its_grace_again() {
+fn given_a_repeated_reservation_then_its_grace_begins_anew() {
     let mut quota_ledger = after(&[
         reserve("a", 1, 400, 1),
-        settle(1, 1, 1, 2, &[("a", 400)]),
+        report_usage(1, 1, 1, 2, &[("a", 400)]),
         // Its proposal was lost with its leader, whose successor asks again just before its first report is entered.
         reserve("a", 1, 400, 3),
-        settle(1, 2, 1, 3, &[]),
+        report_usage(1, 2, 1, 3, &[]),
     ]);
     assert_eq!(quota_ledger.route_tokens(ROUTE), 400);
-    quota_ledger.apply(&settle(1, 2, 2, 3 + GRACE_SECONDS, &[]));
+    quota_ledger.apply(&report_usage(1, 2, 2, 3 + GRACE_SECONDS, &[]));
     assert_eq!(quota_ledger.route_tokens(ROUTE), 0);
 }
 
 #[test]
-fn a_report_of_a_leader_before_changes_nothing() {
-    let mut quota_ledger = after(&[settle(1, 2, 1, 1, &[("a", 400)])]);
-    for late in [settle(1, 1, 9, 2, &[]), settle(1, 2, 1, 2, &[]), settle(1, 2, 0, 2, &[("b", 1)])] {
+fn given_a_report_of_an_earlier_leader_then_nothing_changes() {
+    let mut quota_ledger = after(&[report_usage(1, 2, 1, 1, &[("a", 400)])]);
+    for late in
+        [report_usage(1, 1, 9, 2, &[]), report_usage(1, 2, 1, 2, &[]), report_usage(1, 2, 0, 2, &[("b", 1)])]
+    {
         assert_eq!(quota_ledger.apply(&late), Some(QuotaOutcome::Stale));
     }
     assert_eq!(quota_ledger.route_tokens(ROUTE), 400);
 }
 
 #[test]
-fn time_does_not_go_backwards() {
+fn given_timestamps_out_of_order_then_the_clock_does_not_go_back() {
     let mut quota_ledger = after(&[reserve("early", 1, 1, 100), reserve("a", 1, 400, 50)]);
     // By the clock of the later leader, which is behind, 31 s have passed; since the greatest time that was named, 29 have not.
-    quota_ledger.apply(&settle(1, 1, 1, 81, &[]));
+    quota_ledger.apply(&report_usage(1, 1, 1, 81, &[]));
     assert_eq!(quota_ledger.route_tokens(ROUTE), 401);
-    quota_ledger.apply(&settle(1, 1, 2, 100 + GRACE_SECONDS, &[]));
+    quota_ledger.apply(&report_usage(1, 1, 2, 100 + GRACE_SECONDS, &[]));
     assert_eq!(quota_ledger.route_tokens(ROUTE), 0);
 }
 
 #[test]
-fn a_report_that_changes_nothing_is_known_as_such() {
-    let quota_ledger = after(&[reserve("a", 1, 400, 1), settle(1, 1, 1, 2, &[("a", 400)])]);
+fn given_a_report_then_would_change_tells_whether_it_changes_entries() {
+    let quota_ledger = after(&[reserve("a", 1, 400, 1), report_usage(1, 1, 1, 2, &[("a", 400)])]);
     let open = |tokens| [JobUsage { job: "a".to_owned(), tokens }];
     let number = |term, sequence| UsageReportNumber { term, sequence };
     let at = 3 * SECOND;
@@ -134,8 +136,8 @@
 }
 
 #[test]
-fn what_is_no_snapshot_is_refused() {
-    let snapshot = after(&[reserve("a", 1, 400, 1), settle(2, 1, 1, 2, &[("b", 7)])]).snapshot();
+fn given_bytes_that_are_no_snapshot_then_restore_fails() {
+    let snapshot = after(&[reserve("a", 1, 400, 1), report_usage(2, 1, 1, 2, &[("b", 7)])]).snapshot();
     for length in 0..snapshot.len() {
         assert!(QuotaLedger::restore(&snapshot.slice(..length)).is_err(), "{length} bytes");
     }
@@ -208,7 +210,7 @@
 
 fn commands() -> impl Strategy<Value = Vec<Command>> {
     let route = || prop_oneof![Just("x".to_owned()), Just("y".to_owned())];
-    let job = || (0_u8..6).prop_map(|nth| format!("lot-{nth}"));
+    let job = || (0_u8..6).prop_map(|nth| format!("job-{nth}"));
     let at = || (0_i64..120).prop_map(|second| second * SECOND);
     let max_waiting_tokens = prop_oneof![Just(0_u64), Just(300)];
     let reserve = (route(), job(), 1_u16..4, 0_u64..200, max_waiting_tokens, at()).prop_map(
@@ -222,7 +224,7 @@
         },
     );
     let open = prop::collection::btree_map(job(), prop_oneof![1 => Just(0_u64), 3 => 1_u64..200], 0..4);
-    let settle = (route(), 1_u16..4, (1_u64..4, 0_u64..9), at(), open).prop_map(
+    let report_usage = (route(), 1_u16..4, (1_u64..4, 0_u64..9), at(), open).prop_map(
         |(route, shard, (term, sequence), at, open)| {
             let open = open.into_iter().map(|(job, tokens)| JobUsage { job, tokens }).collect();
             Command::ReportUsage {
@@ -234,14 +236,14 @@
             }
         },
     );
-    prop::collection::vec(prop_oneof![2 => reserve, 1 => settle], 0..60)
+    prop::collection::vec(prop_oneof![2 => reserve, 1 => report_usage], 0..60)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn the_ledger_does_as_its_rules_say_also_after_a_restore(commands in commands()) {
+    fn given_any_commands_then_the_ledger_does_as_the_plain_model_also_restored(commands in commands()) {
         let (mut quota_ledger, mut model) = (QuotaLedger::default(), Model::default());
         for command in commands {
             let command = Command::decode(&command.encode()).expect("its own bytes");
@@ -261,15 +263,15 @@
     }
 
     #[test]
-    fn no_grant_goes_over_the_quota(
+    fn given_any_reservations_then_no_grant_exceeds_the_quota(
         commands in prop::collection::vec((0_u8..20, 1_u16..4, 0_u64..500), 0..80),
     ) {
         let mut quota_ledger = QuotaLedger::default();
         for (job, shard, tokens) in commands {
             let granted = quota_ledger.apply(&reserve(&format!("{shard}-{job}"), shard, tokens, 1));
-            let fits_alone = tokens <= MOST;
+            let fits_alone = tokens <= MAX_TOKENS;
             prop_assert!(fits_alone || granted == Some(QuotaOutcome::Refused));
-            prop_assert!(quota_ledger.route_tokens(ROUTE) <= MOST);
+            prop_assert!(quota_ledger.route_tokens(ROUTE) <= MAX_TOKENS);
         }
     }
 }
--- a/crates/batch/tests/schedule.rs
+++ b/crates/batch/tests/schedule.rs
@@ -5,28 +5,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bytes::Bytes;
-use common::{DUE, RETAIN, abandon, end, item, list, read, submit, submit_within};
+use common::{DUE, RETAIN, abandon, end, finish, item, read, submit, submit_within};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rainlug::{SECOND, Time};
 use rainlug_batch::{Applied, Command, ItemRun, JobTable, MAX_PROPOSALS, RunOutcome, Schedule};
 
-/// A part's owner: each command is applied, and the schedule told of it.
-struct Owner {
+/// A shard's leader: each command is applied, and the schedule follows.
+struct Leader {
     table: JobTable,
     schedule: Schedule,
     now: Time,
 }
 
-impl Owner {
-    fn of(commands: &[Command]) -> Self {
+impl Leader {
+    fn new(commands: &[Command]) -> Self {
         let table = JobTable::default();
         let schedule = Schedule::new(&table);
-        let mut owner = Owner { table, schedule, now: 2 * SECOND };
+        let mut leader = Leader { table, schedule, now: 2 * SECOND };
         for command in commands {
-            owner.apply(command);
+            leader.apply(command);
         }
-        owner
+        leader
     }
 
     fn apply(&mut self, command: &Command) -> Applied {
@@ -35,25 +35,34 @@
         applied
     }
 
-    fn next(&mut self) -> Option<ItemRun> {
+    fn start_next(&mut self) -> Option<ItemRun> {
         self.schedule.start_next(&self.table, self.now)
     }
 
-    /// The next ones as `lot/item`.
+    /// The next ones as `job/item`.
     fn take(&mut self, count: usize) -> Vec<String> {
-        (0..count).map_while(|_| self.next()).map(|next| format!("{}/{}", next.job, next.item.id)).collect()
+        (0..count)
+            .map_while(|_| self.start_next())
+            .map(|next| format!("{}/{}", next.job, next.item.id))
+            .collect()
     }
 
-    fn ended(&mut self, job: &str, item: &str, events: &[(u64, &str)], end: RunOutcome) -> Option<Command> {
+    fn finish_run(
+        &mut self,
+        job: &str,
+        item: &str,
+        events: &[(u64, &str)],
+        end: RunOutcome,
+    ) -> Option<Command> {
         let events = events.iter().map(|(id, data)| (*id, Bytes::copy_from_slice(data.as_bytes()))).collect();
         self.schedule.finish_run(&self.table, self.now, job, item, events, end)
     }
 
-    fn refused(&mut self, command: &Command) {
+    fn requeue_refused(&mut self, command: &Command) {
         self.schedule.requeue_refused(&self.table, command.clone());
     }
 
-    fn overdue(&mut self) -> Vec<Command> {
+    fn take_proposals(&mut self) -> Vec<Command> {
         self.schedule.take_proposals(&self.table, self.now)
     }
 
@@ -63,336 +72,340 @@
 }
 
 #[test]
-fn what_is_due_first_runs_first() {
+fn given_several_jobs_then_items_run_by_deadline() {
     let items = |ids: &[&str]| ids.iter().map(|id| item(id, 1)).collect::<Vec<_>>();
-    let mut owner = Owner::of(&[
+    let mut leader = Leader::new(&[
         submit_within("z", 0, DUE, items(&["2", "1"])),
         submit_within("b", 0, DUE, items(&["3"])),
         submit_within("c", 0, DUE - 1, items(&["4"])),
     ]);
-    assert_eq!(owner.counts(), (0, 4));
-    assert_eq!(owner.take(9), ["c/4", "z/2", "z/1", "b/3"]);
-    assert_eq!(owner.counts(), (4, 0));
+    assert_eq!(leader.counts(), (0, 4));
+    assert_eq!(leader.take(9), ["c/4", "z/2", "z/1", "b/3"]);
+    assert_eq!(leader.counts(), (4, 0));
 }
 
 #[test]
-fn a_next_one_tells_all_that_a_run_needs() {
-    let mut owner = Owner::of(&[submit("l", &["a"])]);
-    let next = owner.next().unwrap();
+fn given_a_ready_item_when_started_then_the_run_has_all_a_worker_needs() {
+    let mut leader = Leader::new(&[submit("l", &["a"])]);
+    let next = leader.start_next().unwrap();
     assert_eq!((&*next.job, &*next.route, &*next.host), ("l", common::ROUTE, "bulk.example"));
     assert_eq!((next.last_event, next.deadline, next.retain_until), (0, DUE, RETAIN));
     assert_eq!(next.item, item("a", 10));
 }
 
 #[test]
-fn a_whole_run_is_listed_with_all_its_data() {
-    let mut owner = Owner::of(&[submit("l", &["a"])]);
-    owner.next().unwrap();
-    let command = owner.ended("l", "a", &[(1, "one"), (2, ""), (3, "three")], RunOutcome::Complete).unwrap();
-    assert_eq!(command, list("l", "a", "one\n\nthree"));
-    assert!(owner.next().is_none(), "it is proposed already");
-    assert_eq!(owner.apply(&command), Applied::ItemFinished { position: 0 });
-    assert_eq!(owner.counts(), (0, 0));
-    owner.now += 100 * SECOND;
-    assert!(owner.overdue().is_empty());
+fn given_a_complete_run_then_the_item_finishes_with_all_its_data() {
+    let mut leader = Leader::new(&[submit("l", &["a"])]);
+    leader.start_next().unwrap();
+    let command =
+        leader.finish_run("l", "a", &[(1, "one"), (2, ""), (3, "three")], RunOutcome::Complete).unwrap();
+    assert_eq!(command, finish("l", "a", "one\n\nthree"));
+    assert!(leader.start_next().is_none(), "it is proposed already");
+    assert_eq!(leader.apply(&command), Applied::ItemFinished { position: 0 });
+    assert_eq!(leader.counts(), (0, 0));
+    leader.now += 100 * SECOND;
+    assert!(leader.take_proposals().is_empty());
 }
 
 #[test]
-fn a_long_text_is_proposed_compressed() {
-    let mut owner = Owner::of(&[submit("l", &["a"])]);
-    owner.next().unwrap();
+fn given_a_long_text_when_its_run_completes_then_it_is_proposed_compressed() {
+    let mut leader = Leader::new(&[submit("l", &["a"])]);
+    leader.start_next().unwrap();
     let lines: Vec<(u64, String)> = (1..=50).map(|id| (id, format!("line {id} of some letters"))).collect();
     let events: Vec<(u64, &str)> = lines.iter().map(|(id, line)| (*id, &**line)).collect();
-    let command = owner.ended("l", "a", &events, RunOutcome::Complete).unwrap();
+    let command = leader.finish_run("l", "a", &events, RunOutcome::Complete).unwrap();
     let text = lines.iter().map(|(_, line)| &**line).collect::<Vec<_>>().join("\n");
     let Command::FinishItem { text: stored, .. } = &command else { panic!("{command:?}") };
     assert!(stored.stored().len() < text.len() / 2);
     assert!(command.encode().len() < text.len());
-    owner.apply(&command);
-    assert_eq!(owner.table.totals().output_bytes, stored.stored().len() as u64);
-    assert_eq!(read(&owner.table, "l", 0).unwrap().outputs[0].prompt, text);
+    leader.apply(&command);
+    assert_eq!(leader.table.totals().output_bytes, stored.stored().len() as u64);
+    assert_eq!(read(&leader.table, "l", 0).unwrap().outputs[0].prompt, text);
 }
 
 #[test]
-fn a_run_broken_off_goes_on_after_its_last_event() {
-    let mut owner = Owner::of(&[submit("l", &["a"])]);
-    owner.next().unwrap();
-    assert_eq!(owner.ended("l", "a", &[(1, "one"), (2, "two")], RunOutcome::Interrupted), None);
-    assert_eq!(owner.next().unwrap().last_event, 2);
-    assert_eq!(owner.ended("l", "a", &[], RunOutcome::NoCapacity), None);
-    assert_eq!(owner.next().unwrap().last_event, 2);
+fn given_an_interrupted_run_then_the_next_goes_on_after_its_last_event() {
+    let mut leader = Leader::new(&[submit("l", &["a"])]);
+    leader.start_next().unwrap();
+    assert_eq!(leader.finish_run("l", "a", &[(1, "one"), (2, "two")], RunOutcome::Interrupted), None);
+    assert_eq!(leader.start_next().unwrap().last_event, 2);
+    assert_eq!(leader.finish_run("l", "a", &[], RunOutcome::NoCapacity), None);
+    assert_eq!(leader.start_next().unwrap().last_event, 2);
     // What comes again, or goes back, is not taken twice.
     let events = [(1, "one"), (2, "two"), (3, "three"), (3, "three"), (2, "two"), (4, "four")];
-    let command = owner.ended("l", "a", &events, RunOutcome::Complete);
-    assert_eq!(command, Some(list("l", "a", "one\ntwo\nthree\nfour")));
+    let command = leader.finish_run("l", "a", &events, RunOutcome::Complete);
+    assert_eq!(command, Some(finish("l", "a", "one\ntwo\nthree\nfour")));
 }
 
 #[test]
-fn an_item_is_abandoned_after_its_last_try() {
-    let mut owner = Owner::of(&[submit("l", &["a"])]);
+fn given_failed_runs_then_the_item_is_abandoned_after_its_last_attempt() {
+    let mut leader = Leader::new(&[submit("l", &["a"])]);
     for end in [RunOutcome::Failed, RunOutcome::Interrupted, RunOutcome::Failed, RunOutcome::NoCapacity] {
-        owner.next().unwrap();
-        assert_eq!(owner.ended("l", "a", &[(1, "one")], end), None);
+        leader.start_next().unwrap();
+        assert_eq!(leader.finish_run("l", "a", &[(1, "one")], end), None);
     }
-    owner.next().unwrap();
-    assert_eq!(owner.ended("l", "a", &[], RunOutcome::Failed), Some(abandon("l", "a")));
-    assert!(owner.next().is_none());
+    leader.start_next().unwrap();
+    assert_eq!(leader.finish_run("l", "a", &[], RunOutcome::Failed), Some(abandon("l", "a")));
+    assert!(leader.start_next().is_none());
 }
 
 #[test]
-fn an_item_that_can_never_be_done_is_abandoned_at_once() {
-    let mut owner = Owner::of(&[submit("l", &["a"])]);
-    owner.next().unwrap();
-    assert_eq!(owner.ended("l", "a", &[], RunOutcome::Unprocessable), Some(abandon("l", "a")));
+fn given_an_unprocessable_item_then_it_is_abandoned_at_once() {
+    let mut leader = Leader::new(&[submit("l", &["a"])]);
+    leader.start_next().unwrap();
+    assert_eq!(leader.finish_run("l", "a", &[], RunOutcome::Unprocessable), Some(abandon("l", "a")));
 }
 
 #[test]
-fn a_refused_proposal_is_made_again_until_it_is_taken() {
-    let mut owner = Owner::of(&[submit("l", &["a"])]);
-    owner.next().unwrap();
-    let command = owner.ended("l", "a", &[(1, "one")], RunOutcome::Complete).unwrap();
+fn given_a_refused_proposal_then_it_is_made_again_until_applied() {
+    let mut leader = Leader::new(&[submit("l", &["a"])]);
+    leader.start_next().unwrap();
+    let command = leader.finish_run("l", "a", &[(1, "one")], RunOutcome::Complete).unwrap();
     for _ in 0..2 {
-        owner.refused(&command);
-        assert_eq!(owner.overdue(), std::slice::from_ref(&command));
-        assert!(owner.overdue().is_empty());
+        leader.requeue_refused(&command);
+        assert_eq!(leader.take_proposals(), std::slice::from_ref(&command));
+        assert!(leader.take_proposals().is_empty());
     }
-    owner.refused(&command);
-    owner.apply(&command);
-    assert!(owner.overdue().is_empty(), "what is listed meanwhile is not proposed again");
-    owner.refused(&command);
-    assert!(owner.overdue().is_empty());
+    leader.requeue_refused(&command);
+    leader.apply(&command);
+    assert!(leader.take_proposals().is_empty(), "what is finished meanwhile is not proposed again");
+    leader.requeue_refused(&command);
+    assert!(leader.take_proposals().is_empty());
 }
 
 /// A leader's log loses nothing in its term: that its entries wait for a quorum's disks is no reason to send them again.
 #[test]
-fn a_proposal_that_is_not_agreed_on_is_made_once_by_one_leader() {
+fn given_proposals_that_do_not_commit_then_one_leader_makes_each_once() {
     const OUTPUTS: usize = 900;
     let items = (0..OUTPUTS).map(|number| item(&number.to_string(), 1)).collect();
-    let mut owner = Owner::of(&[submit_within("l", 0, DUE, items)]);
+    let mut leader = Leader::new(&[submit_within("l", 0, DUE, items)]);
     let mut proposed = Vec::new();
     for _ in 0..60 {
         for _ in 0..OUTPUTS / 60 {
-            let next = owner.next().unwrap();
-            proposed.extend(owner.ended("l", &next.item.id, &[(1, "one")], RunOutcome::Complete));
+            let next = leader.start_next().unwrap();
+            proposed.extend(leader.finish_run("l", &next.item.id, &[(1, "one")], RunOutcome::Complete));
         }
-        owner.now += SECOND;
-        assert!(owner.overdue().is_empty());
+        leader.now += SECOND;
+        assert!(leader.take_proposals().is_empty());
     }
-    assert_eq!((proposed.len(), owner.counts()), (OUTPUTS, (0, 0)));
-    owner.now = RETAIN + 60 * SECOND;
-    assert!(owner.overdue().is_empty());
+    assert_eq!((proposed.len(), leader.counts()), (OUTPUTS, (0, 0)));
+    leader.now = RETAIN + 60 * SECOND;
+    assert!(leader.take_proposals().is_empty());
     // The next leader may lack them: it plans them anew.
-    owner.schedule = Schedule::new(&owner.table);
-    assert_eq!(owner.counts(), (0, OUTPUTS));
+    leader.schedule = Schedule::new(&leader.table);
+    assert_eq!(leader.counts(), (0, OUTPUTS));
 }
 
 #[test]
-fn items_whose_time_is_over_are_abandoned_once_each_and_not_all_in_one_step() {
+fn given_many_expired_items_then_each_is_abandoned_once_in_bounded_steps() {
     const { assert!(MAX_PROPOSALS <= 256) };
     const JOBS: usize = 8;
     const ITEMS: usize = 100;
     let submits: Vec<Command> = (0..JOBS)
         .map(|job| {
             let items = (0..ITEMS).map(|number| item(&number.to_string(), 1)).collect();
-            submit_within(&format!("lot {job}"), 0, DUE, items)
+            submit_within(&format!("job {job}"), 0, DUE, items)
         })
         .collect();
-    let mut owner = Owner::of(&submits);
-    owner.now = RETAIN;
+    let mut leader = Leader::new(&submits);
+    leader.now = RETAIN;
     let mut abandoned = Vec::new();
     while abandoned.len() < JOBS * ITEMS {
-        let commands = owner.overdue();
+        let commands = leader.take_proposals();
         assert_eq!(commands.len(), MAX_PROPOSALS.min(JOBS * ITEMS - abandoned.len()));
         abandoned.extend(commands);
-        owner.now += SECOND;
+        leader.now += SECOND;
     }
-    assert!(owner.overdue().is_empty());
+    assert!(leader.take_proposals().is_empty());
     let distinct: BTreeSet<Vec<u8>> = abandoned.iter().map(|command| command.encode().to_vec()).collect();
     assert_eq!(distinct.len(), JOBS * ITEMS);
     for command in &abandoned {
-        assert!(matches!(owner.apply(command), Applied::ItemFinished { .. }));
+        assert!(matches!(leader.apply(command), Applied::ItemFinished { .. }));
     }
-    assert_eq!(owner.counts(), (0, 0));
+    assert_eq!(leader.counts(), (0, 0));
 }
 
 #[test]
-fn no_step_gives_more_refused_commands_than_it_may() {
+fn given_many_refused_commands_then_each_step_gives_a_bounded_number() {
     const OUTPUTS: usize = MAX_PROPOSALS + 1;
     let items = (0..OUTPUTS).map(|number| item(&number.to_string(), 1)).collect();
-    let mut owner = Owner::of(&[submit_within("l", 0, DUE, items)]);
-    while let Some(next) = owner.next() {
-        let command = owner.ended("l", &next.item.id, &[], RunOutcome::Complete).unwrap();
-        owner.refused(&command);
+    let mut leader = Leader::new(&[submit_within("l", 0, DUE, items)]);
+    while let Some(next) = leader.start_next() {
+        let command = leader.finish_run("l", &next.item.id, &[], RunOutcome::Complete).unwrap();
+        leader.requeue_refused(&command);
     }
-    assert_eq!((owner.overdue().len(), owner.overdue().len(), owner.overdue().len()), (MAX_PROPOSALS, 1, 0));
+    assert_eq!(
+        (leader.take_proposals().len(), leader.take_proposals().len(), leader.take_proposals().len()),
+        (MAX_PROPOSALS, 1, 0)
+    );
 }
 
 /// However many are passed over: those that can still run are found within a few calls.
 #[test]
-fn items_whose_time_is_over_do_not_hide_those_that_can_run() {
+fn given_many_expired_items_then_those_that_can_run_are_found() {
     const OVER: usize = 5000;
     let items = (0..OVER).map(|number| item(&number.to_string(), 1)).collect();
     let mut later = submit_within("later", 0, DUE + SECOND, vec![item("a", 1)]);
     if let Command::Submit { retain_until, .. } = &mut later {
         *retain_until = RETAIN + 10 * SECOND;
     }
-    let mut owner = Owner::of(&[submit_within("over", 0, DUE, items), later]);
-    owner.now = RETAIN;
-    let found = (0..10).find_map(|_| owner.next()).unwrap();
+    let mut leader = Leader::new(&[submit_within("over", 0, DUE, items), later]);
+    leader.now = RETAIN;
+    let found = (0..10).find_map(|_| leader.start_next()).unwrap();
     assert_eq!((&*found.job, &*found.item.id), ("later", "a"));
-    assert_eq!(owner.counts(), (1, 0));
+    assert_eq!(leader.counts(), (1, 0));
 }
 
 #[test]
-fn what_is_not_listed_when_its_time_is_over_is_abandoned() {
-    let mut owner = Owner::of(&[submit("l", &["a", "b", "c"])]);
-    owner.apply(&list("l", "a", ""));
-    owner.next().unwrap();
-    owner.now = RETAIN - 1;
-    assert!(owner.overdue().is_empty());
-    owner.now = RETAIN;
-    assert!(owner.next().is_none(), "nothing runs once its time is over");
-    assert_eq!(owner.overdue(), [abandon("l", "b"), abandon("l", "c")]);
-    assert!(owner.overdue().is_empty());
-    assert_eq!(owner.counts(), (1, 0));
-    // The one that still runs does not run again, but may be listed as what it is.
-    assert_eq!(owner.ended("l", "b", &[], RunOutcome::Interrupted), None);
-    assert_eq!(owner.counts(), (0, 0));
-    owner.now += SECOND;
-    assert!(owner.overdue().is_empty(), "each is proposed once");
-    owner.refused(&abandon("l", "c"));
-    owner.refused(&abandon("l", "b"));
-    assert_eq!(owner.overdue(), [abandon("l", "b"), abandon("l", "c")]);
-    owner.apply(&abandon("l", "b"));
-    owner.apply(&abandon("l", "c"));
-    owner.now += SECOND;
-    assert!(owner.overdue().is_empty());
+fn given_unfinished_items_when_they_expire_then_they_are_abandoned() {
+    let mut leader = Leader::new(&[submit("l", &["a", "b", "c"])]);
+    leader.apply(&finish("l", "a", ""));
+    leader.start_next().unwrap();
+    leader.now = RETAIN - 1;
+    assert!(leader.take_proposals().is_empty());
+    leader.now = RETAIN;
+    assert!(leader.start_next().is_none(), "nothing runs once its time is over");
+    assert_eq!(leader.take_proposals(), [abandon("l", "b"), abandon("l", "c")]);
+    assert!(leader.take_proposals().is_empty());
+    assert_eq!(leader.counts(), (1, 0));
+    // The one that still runs does not run again, but may finish as what it is.
+    assert_eq!(leader.finish_run("l", "b", &[], RunOutcome::Interrupted), None);
+    assert_eq!(leader.counts(), (0, 0));
+    leader.now += SECOND;
+    assert!(leader.take_proposals().is_empty(), "each is proposed once");
+    leader.requeue_refused(&abandon("l", "c"));
+    leader.requeue_refused(&abandon("l", "b"));
+    assert_eq!(leader.take_proposals(), [abandon("l", "b"), abandon("l", "c")]);
+    leader.apply(&abandon("l", "b"));
+    leader.apply(&abandon("l", "c"));
+    leader.now += SECOND;
+    assert!(leader.take_proposals().is_empty());
 }
 
 #[test]
-fn a_run_that_is_whole_after_its_time_is_proposed_as_whole() {
-    let mut owner = Owner::of(&[submit("l", &["a"])]);
-    owner.next().unwrap();
-    owner.now = RETAIN;
-    assert_eq!(owner.overdue(), [abandon("l", "a")]);
-    owner.refused(&abandon("l", "a"));
-    let whole = owner.ended("l", "a", &[(1, "one")], RunOutcome::Complete);
-    assert_eq!(whole, Some(list("l", "a", "one")));
-    assert!(owner.overdue().is_empty(), "the refused one is not proposed behind it");
-    owner.refused(&list("l", "a", "one"));
-    assert_eq!(owner.overdue(), [list("l", "a", "one")]);
+fn given_a_run_that_completes_after_expiry_then_it_is_proposed_as_complete() {
+    let mut leader = Leader::new(&[submit("l", &["a"])]);
+    leader.start_next().unwrap();
+    leader.now = RETAIN;
+    assert_eq!(leader.take_proposals(), [abandon("l", "a")]);
+    leader.requeue_refused(&abandon("l", "a"));
+    let whole = leader.finish_run("l", "a", &[(1, "one")], RunOutcome::Complete);
+    assert_eq!(whole, Some(finish("l", "a", "one")));
+    assert!(leader.take_proposals().is_empty(), "the refused one is not proposed behind it");
+    leader.requeue_refused(&finish("l", "a", "one"));
+    assert_eq!(leader.take_proposals(), [finish("l", "a", "one")]);
 }
 
 #[test]
-fn nothing_runs_of_what_is_ended_or_listed() {
-    let mut owner = Owner::of(&[submit("l", &["a", "b", "c"]), submit("m", &["d", "e"])]);
-    assert_eq!(owner.take(1), ["l/a"]);
-    owner.apply(&end("l"));
-    assert_eq!(owner.counts(), (1, 2));
-    assert_eq!(owner.ended("l", "a", &[(1, "one")], RunOutcome::Complete), None);
-    assert_eq!(owner.counts(), (0, 2));
-    owner.apply(&list("m", "d", ""));
-    assert_eq!(owner.take(9), ["m/e"]);
-    owner.apply(&list("m", "e", ""));
-    assert_eq!(owner.ended("m", "e", &[], RunOutcome::Failed), None);
-    assert_eq!(owner.counts(), (0, 0));
+fn given_ended_jobs_and_finished_items_then_they_do_not_run() {
+    let mut leader = Leader::new(&[submit("l", &["a", "b", "c"]), submit("m", &["d", "e"])]);
+    assert_eq!(leader.take(1), ["l/a"]);
+    leader.apply(&end("l"));
+    assert_eq!(leader.counts(), (1, 2));
+    assert_eq!(leader.finish_run("l", "a", &[(1, "one")], RunOutcome::Complete), None);
+    assert_eq!(leader.counts(), (0, 2));
+    leader.apply(&finish("m", "d", ""));
+    assert_eq!(leader.take(9), ["m/e"]);
+    leader.apply(&finish("m", "e", ""));
+    assert_eq!(leader.finish_run("m", "e", &[], RunOutcome::Failed), None);
+    assert_eq!(leader.counts(), (0, 0));
 }
 
 #[test]
-fn a_run_that_was_not_given_out_is_nothing() {
-    let mut owner = Owner::of(&[submit("l", &["a"])]);
-    assert_eq!(owner.ended("l", "a", &[(1, "one")], RunOutcome::Complete), None);
-    assert_eq!(owner.ended("m", "x", &[], RunOutcome::Unprocessable), None);
-    assert_eq!(owner.counts(), (0, 1));
+fn given_a_run_that_was_never_started_when_finished_then_nothing_changes() {
+    let mut leader = Leader::new(&[submit("l", &["a"])]);
+    assert_eq!(leader.finish_run("l", "a", &[(1, "one")], RunOutcome::Complete), None);
+    assert_eq!(leader.finish_run("m", "x", &[], RunOutcome::Unprocessable), None);
+    assert_eq!(leader.counts(), (0, 1));
 }
 
 #[test]
-fn a_batch_job_accepted_twice_is_planned_once() {
-    let mut owner = Owner::of(&[submit("l", &["a"])]);
-    owner.next().unwrap();
-    assert_eq!(owner.apply(&submit("l", &["a"])), Applied::AlreadyAccepted);
-    assert_eq!(owner.counts(), (1, 0));
-    assert!(owner.next().is_none());
+fn given_a_job_submitted_twice_then_it_is_planned_once() {
+    let mut leader = Leader::new(&[submit("l", &["a"])]);
+    leader.start_next().unwrap();
+    assert_eq!(leader.apply(&submit("l", &["a"])), Applied::AlreadyAccepted);
+    assert_eq!(leader.counts(), (1, 0));
+    assert!(leader.start_next().is_none());
 }
 
 #[test]
-fn a_new_owner_plans_what_is_left() {
-    let mut owner = Owner::of(&[submit("l", &["a", "b"]), submit("m", &["c"]), submit("n", &["d"])]);
-    owner.next().unwrap();
-    owner.ended("l", "a", &[(1, "one")], RunOutcome::Interrupted);
-    owner.apply(&list("l", "b", ""));
-    owner.apply(&end("m"));
-    owner.schedule = Schedule::new(&owner.table);
-    assert_eq!(owner.counts(), (0, 2));
-    let next = owner.next().unwrap();
-    assert_eq!((&*next.item.id, next.last_event), ("a", 0), "events had are its former owner's alone");
-    assert_eq!(owner.take(9), ["n/d"]);
+fn given_a_new_leader_then_it_plans_the_open_items() {
+    let mut leader = Leader::new(&[submit("l", &["a", "b"]), submit("m", &["c"]), submit("n", &["d"])]);
+    leader.start_next().unwrap();
+    leader.finish_run("l", "a", &[(1, "one")], RunOutcome::Interrupted);
+    leader.apply(&finish("l", "b", ""));
+    leader.apply(&end("m"));
+    leader.schedule = Schedule::new(&leader.table);
+    assert_eq!(leader.counts(), (0, 2));
+    let next = leader.start_next().unwrap();
+    assert_eq!((&*next.item.id, next.last_event), ("a", 0), "events had are its former leader's alone");
+    assert_eq!(leader.take(9), ["n/d"]);
 }
 
-/// What is listed or ended before it is planned is not planned.
+/// What is finished or ended before it is planned is not planned.
 #[test]
-fn a_large_plan_is_made_over_several_steps_in_the_order_of_running() {
+fn given_a_large_table_then_it_is_planned_over_several_steps_in_running_order() {
     const JOBS: usize = 30;
     const ITEMS: usize = 200;
-    let job = |number: usize| format!("lot {number}");
+    let job = |number: usize| format!("job {number}");
     let submits: Vec<Command> = (0..JOBS)
         .map(|number| {
             let items = (0..ITEMS).map(|place| item(&place.to_string(), 1)).collect();
             submit_within(&job(number), 0, DUE - number as Time, items)
         })
         .collect();
-    let mut owner = Owner::of(&submits);
-    owner.schedule = Schedule::new(&owner.table);
-    assert!((1..JOBS * ITEMS / 4).contains(&owner.counts().1), "{:?}", owner.counts());
-    owner.apply(&list(&job(0), "0", ""));
-    owner.apply(&end(&job(1)));
+    let mut leader = Leader::new(&submits);
+    leader.schedule = Schedule::new(&leader.table);
+    assert!((1..JOBS * ITEMS / 4).contains(&leader.counts().1), "{:?}", leader.counts());
+    leader.apply(&finish(&job(0), "0", ""));
+    leader.apply(&end(&job(1)));
     let late = submit_within("late", 0, DUE + SECOND, vec![item("a", 1)]);
-    owner.apply(&late);
+    leader.apply(&late);
     let mut expected: Vec<String> = (0..JOBS)
         .rev()
-        .flat_map(|number| (0..ITEMS).map(move |place| format!("lot {number}/{place}")))
-        .filter(|id| !id.starts_with("lot 1/") && id != "lot 0/0")
+        .flat_map(|number| (0..ITEMS).map(move |place| format!("job {number}/{place}")))
+        .filter(|id| !id.starts_with("job 1/") && id != "job 0/0")
         .collect();
     expected.push("late/a".to_owned());
-    assert_eq!(owner.take(JOBS * ITEMS), expected);
-    assert_eq!(owner.counts(), (expected.len(), 0));
+    assert_eq!(leader.take(JOBS * ITEMS), expected);
+    assert_eq!(leader.counts(), (expected.len(), 0));
 }
 
 /// Under an id whose earlier batch job was forgotten before it was planned.
 #[test]
-fn a_batch_job_accepted_while_the_plan_is_made_is_planned_once() {
+fn given_a_job_accepted_during_planning_then_it_is_planned_once() {
     const ITEMS: usize = 200;
     let items = || (0..ITEMS).map(|place| item(&place.to_string(), 1)).collect::<Vec<_>>();
     let submits: Vec<Command> = (0..30)
-        .map(|number| submit_within(&format!("lot {number}"), 0, DUE - number as Time, items()))
+        .map(|number| submit_within(&format!("job {number}"), 0, DUE - number as Time, items()))
         .collect();
-    let mut owner = Owner::of(&submits);
-    owner.schedule = Schedule::new(&owner.table);
-    owner.apply(&end("lot 0"));
-    owner.apply(&Command::Forget { before: RETAIN });
-    assert_eq!(owner.apply(&submit_within("lot 0", 0, DUE - SECOND, items())), Applied::Accepted);
-    assert_eq!(owner.take(1), ["lot 0/0"]);
-    let all = owner.take(30 * ITEMS);
+    let mut leader = Leader::new(&submits);
+    leader.schedule = Schedule::new(&leader.table);
+    leader.apply(&end("job 0"));
+    leader.apply(&Command::Forget { before: RETAIN });
+    assert_eq!(leader.apply(&submit_within("job 0", 0, DUE - SECOND, items())), Applied::Accepted);
+    assert_eq!(leader.take(1), ["job 0/0"]);
+    let all = leader.take(30 * ITEMS);
     assert_eq!(all.len(), 30 * ITEMS - 1);
-    assert_eq!(all.iter().filter(|id| *id == "lot 0/0").count(), 0, "it runs already");
+    assert_eq!(all.iter().filter(|id| *id == "job 0/0").count(), 0, "it runs already");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: RngSeed::Fixed(28), failure_persistence: None, ..Default::default() })]
 
-    /// However runs end, proposals are refused and owners change: no item runs beside itself, none is given up before its time or
-    /// its tries, each text is whole, and at last all is listed.
+    /// However runs end, proposals are refused and leaders change: no item runs beside itself, none is given up before its time or
+    /// its attempts, each text is complete, and at last all is finished.
     #[test]
-    fn at_last_all_is_listed_once(
+    fn given_any_runs_then_every_item_finishes_exactly_once(
         sizes in prop::collection::vec(1_usize..6, 1..4),
         steps in prop::collection::vec((0_u8..8, any::<prop::sample::Index>(), 0_u64..4, any::<bool>(), 0_i64..2 * SECOND), 0..200),
     ) {
         const EVENTS: u64 = 5;
         let text = (1..=EVENTS).map(|id| format!("event {id}")).collect::<Vec<_>>().join("\n");
-        let mut owner = Owner::of(&[]);
+        let mut leader = Leader::new(&[]);
         for (i, size) in sizes.iter().enumerate() {
             let items = (0..*size).map(|j| item(&j.to_string(), 1)).collect();
-            owner.apply(&submit_within(&format!("lot {i}"), 0, DUE - i as Time, items));
+            leader.apply(&submit_within(&format!("job {i}"), 0, DUE - i as Time, items));
         }
         let mut running: Vec<ItemRun> = Vec::new();
         let mut failed: BTreeMap<(String, String), u32> = BTreeMap::new();
@@ -405,18 +418,18 @@
             _ => false,
         };
         for (what, which, count, is_lost, pause) in steps {
-            owner.now += pause;
+            leader.now += pause;
             let mut proposed = Vec::new();
             match what {
                 0 | 1 => {
-                    if let Some(next) = owner.next() {
+                    if let Some(next) = leader.start_next() {
                         prop_assert!(!running.iter().any(|run| run.job == next.job && run.item.id == next.item.id));
                         running.push(next);
                     }
                 }
-                2 => proposed = owner.overdue(),
+                2 => proposed = leader.take_proposals(),
                 3 if is_lost => {
-                    owner.schedule = Schedule::new(&owner.table);
+                    leader.schedule = Schedule::new(&leader.table);
                     running.clear();
                     failed.clear();
                     never.clear();
@@ -437,58 +450,58 @@
                         _ => (EVENTS.min(run.last_event + count), RunOutcome::Interrupted),
                     };
                     let events: Vec<_> = (run.last_event + 1..=to).map(|id| (id, Bytes::from(format!("event {id}")))).collect();
-                    proposed.extend(owner.schedule.finish_run(&owner.table, owner.now, &run.job, &run.item.id, events, end));
+                    proposed.extend(leader.schedule.finish_run(&leader.table, leader.now, &run.job, &run.item.id, events, end));
                 }
                 _ => {}
             }
-            prop_assert_eq!(owner.schedule.running_count(), running.len());
+            prop_assert_eq!(leader.schedule.running_count(), running.len());
             for command in proposed {
-                prop_assert!(!is_early(&command, &failed, &never, owner.now), "{:?}", command);
+                prop_assert!(!is_early(&command, &failed, &never, leader.now), "{:?}", command);
                 if is_lost {
-                    owner.refused(&command);
+                    leader.requeue_refused(&command);
                 } else {
-                    owner.apply(&command);
+                    leader.apply(&command);
                 }
             }
         }
-        owner.now = owner.now.max(RETAIN) + 10 * SECOND;
-        for command in owner.overdue() {
-            owner.apply(&command);
+        leader.now = leader.now.max(RETAIN) + 10 * SECOND;
+        for command in leader.take_proposals() {
+            leader.apply(&command);
         }
         for (i, size) in sizes.iter().enumerate() {
-            let answer = read(&owner.table, &format!("lot {i}"), 0).unwrap();
+            let answer = read(&leader.table, &format!("job {i}"), 0).unwrap();
             let ids: BTreeSet<_> = answer.outputs.iter().map(|output| &output.id).collect();
             prop_assert_eq!((answer.outputs.len(), ids.len()), (*size, *size));
             for output in &answer.outputs {
                 prop_assert_eq!(&output.prompt, if output.state == "complete" { &text } else { "" });
             }
         }
-        prop_assert_eq!(owner.schedule.ready_count(), 0);
+        prop_assert_eq!(leader.schedule.ready_count(), 0);
     }
 }
 
 #[test]
-fn what_is_late_already_runs_after_what_can_be_in_time() {
+fn given_items_past_their_deadline_then_timely_ones_run_first() {
     let items = |ids: &[&str]| ids.iter().map(|id| item(id, 1)).collect::<Vec<_>>();
-    let mut owner = Owner::of(&[
+    let mut leader = Leader::new(&[
         submit_within("late", 0, DUE, items(&["1", "2"])),
         submit_within("timely", 0, DUE + 10 * SECOND, items(&["3", "4"])),
     ]);
-    assert_eq!(owner.take(1), ["late/1"], "it can be in time yet");
-    owner.now = DUE + SECOND;
-    assert_eq!(owner.take(9), ["timely/3", "timely/4", "late/2"]);
+    assert_eq!(leader.take(1), ["late/1"], "it can be in time yet");
+    leader.now = DUE + SECOND;
+    assert_eq!(leader.take(9), ["timely/3", "timely/4", "late/2"]);
 }
 
 #[test]
-fn what_cannot_be_in_time_by_the_time_that_runs_take_counts_as_late() {
+fn given_the_mean_run_time_then_items_that_cannot_meet_their_deadline_run_last() {
     let items = |ids: &[&str]| ids.iter().map(|id| item(id, 1)).collect::<Vec<_>>();
-    let mut owner = Owner::of(&[
+    let mut leader = Leader::new(&[
         submit_within("first", 0, DUE, items(&["1", "2"])),
         submit_within("second", 0, DUE + 10 * SECOND, items(&["3"])),
     ]);
-    assert_eq!(owner.take(1), ["first/1"]);
-    owner.now += 2 * SECOND;
-    owner.ended("first", "1", &[(1, "x")], RunOutcome::Complete).expect("it is listed");
-    owner.now = DUE - SECOND;
-    assert_eq!(owner.take(9), ["second/3", "first/2"], "a run takes two seconds");
+    assert_eq!(leader.take(1), ["first/1"]);
+    leader.now += 2 * SECOND;
+    leader.finish_run("first", "1", &[(1, "x")], RunOutcome::Complete).expect("it finishes");
+    leader.now = DUE - SECOND;
+    assert_eq!(leader.take(9), ["second/3", "first/2"], "a run takes two seconds");
 }
--- a/crates/batch/tests/snapshot.rs
+++ b/crates/batch/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: what their pieces are, that they never change, and what a register made from pieces is.
+//! Snapshots: what their chunks are, that they never change, and what a table made from chunks is.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use bytes::Bytes;
-use common::{DUE, abandon, chunks, end, item, list, read, restore, submit, submit_within};
+use common::{DUE, abandon, chunks, end, finish, item, read, restore, submit, submit_within};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rainlug_batch::{
@@ -22,7 +22,7 @@
 }
 
 /// An output of so many bytes, stored plain.
-fn list_plain(job: &str, item: &str, length: usize) -> Command {
+fn finish_plain(job: &str, item: &str, length: usize) -> Command {
     let text = StoredText::plain(&vec![b'x'; length]);
     Command::FinishItem { job: job.into(), item: item.into(), outcome: ItemOutcome::Complete, text }
 }
@@ -31,14 +31,14 @@
     Item { body: vec![b'b'; length].into(), ..item(id, 1) }
 }
 
-/// Three batch jobs with bodies and outputs for several pieces.
+/// Three batch jobs with bodies and outputs for several chunks.
 fn several_chunks() -> JobTable {
     let mut table = JobTable::default();
     for job in ["k", "l", "m"] {
         let items = (0..20).map(|id| item_with_body(&format!("{job}{id}"), 10_000)).collect();
         table.apply(&submit_within(job, 0, DUE, items));
         for id in 0..10 {
-            table.apply(&list_plain(job, &format!("{job}{id}"), 20_000));
+            table.apply(&finish_plain(job, &format!("{job}{id}"), 20_000));
         }
     }
     table.apply(&end("m"));
@@ -64,13 +64,13 @@
 }
 
 /// The same bytes, and how often their buffer was freed.
-fn counted(bytes: Bytes) -> (Bytes, Arc<AtomicUsize>) {
+fn count_frees(bytes: Bytes) -> (Bytes, Arc<AtomicUsize>) {
     let freed = Arc::new(AtomicUsize::new(0));
     (Bytes::from_owner(Counted { bytes, freed: freed.clone() }), freed)
 }
 
 #[test]
-fn an_empty_register_is_a_header() {
+fn given_an_empty_table_then_its_snapshot_is_a_header() {
     let table = JobTable::default();
     assert_eq!(table.snapshot().chunk_count(), 1);
     assert_eq!(table.snapshot().chunk(1), Bytes::new());
@@ -78,21 +78,21 @@
 }
 
 #[test]
-fn small_batch_jobs_share_a_piece() {
+fn given_small_jobs_then_they_share_a_chunk() {
     let jobs: Vec<Command> = (0..50).map(|job| submit(&format!("{job}"), &["a", "b"])).collect();
     assert_eq!(after(&jobs).snapshot().chunk_count(), 2);
 }
 
 #[test]
-fn only_what_is_alone_in_a_piece_is_over_the_bound() {
+fn given_long_items_and_outputs_then_only_a_chunk_of_a_single_one_is_over_the_bound() {
     let mut table = several_chunks();
     let items = vec![item_with_body("a", 100_000), item("b", 1), item_with_body("c", 70_000), item("d", 1)];
     table.apply(&submit_within("long", 0, DUE, items));
     let bodies = chunks(&table).iter().filter(|chunk| chunk.len() > CHUNK_BYTES).count();
     assert_eq!(bodies, 2);
-    table.apply(&list_plain("long", "a", 100));
-    table.apply(&list_plain("long", "c", 300_000));
-    table.apply(&list_plain("long", "d", 100));
+    table.apply(&finish_plain("long", "a", 100));
+    table.apply(&finish_plain("long", "c", 300_000));
+    table.apply(&finish_plain("long", "d", 100));
     let lengths: Vec<usize> = chunks(&table).iter().map(Bytes::len).collect();
     let over: Vec<usize> = lengths.iter().copied().filter(|length| *length > CHUNK_BYTES).collect();
     assert_eq!(over.len(), 1, "{lengths:?}");
@@ -102,11 +102,11 @@
 }
 
 #[test]
-fn a_piece_may_be_as_long_as_the_bound_to_the_byte() {
-    // Heads of the piece and its record (18), then of two outputs (10 each) and their texts.
+fn given_records_that_just_fit_then_a_chunk_is_as_long_as_the_bound() {
+    // Heads of the chunk and its record (18), then of two outputs (10 each) and their texts.
     let half = (CHUNK_BYTES - 18) / 2 - 10;
     let outputs_with = |second: usize| {
-        let texts = [list_plain("l", "a", half), list_plain("l", "b", second)];
+        let texts = [finish_plain("l", "a", half), finish_plain("l", "b", second)];
         let table = after(&[&[submit("l", &["a", "b"])], &texts[..]].concat());
         chunks(&table).iter().map(Bytes::len).collect::<Vec<_>>()
     };
@@ -115,8 +115,8 @@
     assert!(outputs_with(half + 1)[1..].iter().all(|length| *length < CHUNK_BYTES));
     // Records of two batch jobs, to the byte.
     let records_with = |second: usize| {
-        let commands = [submit("l", &["a"]), submit("m", &["a"]), list_plain("l", "a", half)];
-        let table = after(&[&commands[..], &[list_plain("m", "a", second)]].concat());
+        let commands = [submit("l", &["a"]), submit("m", &["a"]), finish_plain("l", "a", half)];
+        let table = after(&[&commands[..], &[finish_plain("m", "a", second)]].concat());
         chunks(&table).iter().map(Bytes::len).collect::<Vec<_>>()
     };
     let room = CHUNK_BYTES - records_with(0)[1];
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn pieces_are_about_as_long_as_they_may_be() {
+fn given_many_records_then_chunks_are_nearly_full() {
     let table = several_chunks();
     let lengths: Vec<usize> = chunks(&table).iter().map(Bytes::len).collect();
     let total: usize = lengths.iter().sum();
@@ -134,10 +134,10 @@
 }
 
 #[test]
-fn a_snapshot_never_changes() {
+fn given_a_snapshot_when_the_table_changes_then_the_snapshot_does_not() {
     let mut table = several_chunks();
     let (snapshot, old) = (table.snapshot(), chunks(&table));
-    table.apply(&list_plain("k", "k15", 500));
+    table.apply(&finish_plain("k", "k15", 500));
     table.apply(&end("l"));
     table.apply(&submit("n", &["a"]));
     table.apply(&Command::Forget { before: DUE });
@@ -148,14 +148,14 @@
 }
 
 #[test]
-fn an_output_touches_no_other() {
+fn given_a_snapshot_when_an_item_finishes_then_only_its_job_is_copied() {
     let mut table = several_chunks();
     let before = table.snapshot();
     let text = |table: &JobTable, position| table.output_text("k", position).unwrap().stored().as_ptr();
     let texts: Vec<_> = (0..10).map(|position| text(&table, position)).collect();
     let body = table.item_body("k", "k16").unwrap().as_ptr();
     assert_eq!(table.snapshot().shared_job_count(&before), 3);
-    assert_eq!(table.apply(&list_plain("k", "k15", 500)), Applied::ItemFinished { position: 10 });
+    assert_eq!(table.apply(&finish_plain("k", "k15", 500)), Applied::ItemFinished { position: 10 });
     assert_eq!(table.snapshot().shared_job_count(&before), 2);
     // Nor are the bytes of its own batch job copied.
     assert!((0..10).map(|position| text(&table, position)).eq(texts));
@@ -163,34 +163,35 @@
 }
 
 #[test]
-fn what_changes_nothing_copies_nothing() {
+fn given_a_snapshot_when_commands_change_nothing_then_no_job_is_copied() {
     let mut table = several_chunks();
     let before = table.snapshot();
-    for command in [list("k", "k0", "again"), list("k", "x", ""), end("m"), submit("k", &["a"]), end("x")] {
+    for command in [finish("k", "k0", "again"), finish("k", "x", ""), end("m"), submit("k", &["a"]), end("x")]
+    {
         table.apply(&command);
     }
     assert_eq!(table.snapshot().shared_job_count(&before), 3);
 }
 
 #[test]
-fn a_command_is_freed_with_its_last_item() {
-    let (encoded, freed) = counted(submit("l", &["a", "b", "c"]).encode());
+fn given_a_decoded_submit_when_its_last_item_finishes_then_its_buffer_is_freed() {
+    let (encoded, freed) = count_frees(submit("l", &["a", "b", "c"]).encode());
     let mut table = JobTable::default();
     table.apply(&Command::decode(&encoded).unwrap());
     drop(encoded);
     let is_freed = || freed.load(Ordering::SeqCst) > 0;
-    table.apply(&list("l", "b", "text"));
+    table.apply(&finish("l", "b", "text"));
     table.apply(&abandon("l", "a"));
     assert!(!is_freed());
     assert_eq!(table.item_body("l", "c"), Some("body of c".into()));
-    table.apply(&list("l", "c", "text"));
+    table.apply(&finish("l", "c", "text"));
     assert!(is_freed());
     assert_eq!(read(&table, "l", 0).unwrap().outputs.len(), 3);
 }
 
 #[test]
-fn a_command_is_freed_with_the_end_of_its_batch_job() {
-    let (encoded, freed) = counted(submit("l", &["a", "b"]).encode());
+fn given_a_decoded_submit_when_the_job_ends_then_its_buffer_is_freed() {
+    let (encoded, freed) = count_frees(submit("l", &["a", "b"]).encode());
     let mut table = JobTable::default();
     table.apply(&Command::decode(&encoded).unwrap());
     drop(encoded);
@@ -199,9 +200,9 @@
 }
 
 #[test]
-fn an_output_holds_its_own_command_and_no_other() {
+fn given_decoded_outputs_then_each_keeps_only_its_own_buffer() {
     let mut table = after(&[submit("l", &["a", "b"])]);
-    let encoded = ["a", "b"].map(|item| counted(list_plain("l", item, 1000).encode()));
+    let encoded = ["a", "b"].map(|item| count_frees(finish_plain("l", item, 1000).encode()));
     let [a, b] = encoded.map(|(encoded, freed)| {
         table.apply(&Command::decode(&encoded).unwrap());
         // A slice of the command, not a copy.
@@ -216,59 +217,60 @@
 }
 
 #[test]
-fn what_is_restored_stays_in_its_pieces_until_it_is_freed() {
-    let (chunks, freed): (Vec<Bytes>, Vec<_>) = chunks(&several_chunks()).into_iter().map(counted).unzip();
+fn given_a_restored_table_then_chunks_are_freed_with_their_contents() {
+    let (chunks, freed): (Vec<Bytes>, Vec<_>) =
+        chunks(&several_chunks()).into_iter().map(count_frees).unzip();
     let mut table = restore(&chunks).unwrap();
     drop(chunks);
-    let held = || freed.iter().filter(|freed| freed.load(Ordering::SeqCst) == 0).count();
-    let all = held();
+    let held_count = || freed.iter().filter(|freed| freed.load(Ordering::SeqCst) == 0).count();
+    let all = held_count();
     assert!(all > 10);
-    // Pieces of items whose bodies are gone are freed though all outputs are there.
+    // Chunks of items whose bodies are gone are freed though all outputs are there.
     table.apply(&end("k"));
     table.apply(&end("l"));
-    let outputs = held();
+    let outputs = held_count();
     assert!(outputs < all);
     assert_eq!(read(&table, "k", 0).unwrap().outputs.len(), 10);
     table.apply(&Command::Forget { before: DUE });
-    assert_eq!(held(), 0);
+    assert_eq!(held_count(), 0);
 }
 
 #[test]
-fn a_piece_that_is_cut_or_longer_is_refused() {
-    let whole = chunks(&after(&[submit("l", &["a", "b"]), list("l", "a", "text"), submit("m", &["c"])]));
+fn given_a_chunk_of_wrong_length_then_restore_fails() {
+    let whole = chunks(&after(&[submit("l", &["a", "b"]), finish("l", "a", "text"), submit("m", &["c"])]));
     for which in 0..whole.len() {
         let mut harmed = whole.clone();
         for cut in 0..whole[which].len() {
             harmed[which] = whole[which].slice(..cut);
-            assert!(restore(&harmed).is_err(), "piece {which} cut at {cut}");
+            assert!(restore(&harmed).is_err(), "chunk {which} cut at {cut}");
         }
         harmed[which] = [&whole[which][..], &[0]].concat().into();
-        assert!(restore(&harmed).is_err(), "piece {which}, a byte more");
+        assert!(restore(&harmed).is_err(), "chunk {which}, a byte more");
     }
     assert!(restore(&whole).is_ok());
 }
 
 #[test]
-fn pieces_are_taken_in_their_order_and_all_of_them() {
+fn given_chunks_missing_doubled_or_swapped_then_restore_fails() {
     let whole = chunks(&several_chunks());
     for which in 0..whole.len() {
         let mut missing = whole.clone();
         missing.remove(which);
-        assert!(restore(&missing).is_err(), "piece {which} is missing");
+        assert!(restore(&missing).is_err(), "chunk {which} is missing");
         let mut doubled = whole.clone();
         doubled.insert(which, whole[which].clone());
-        assert!(restore(&doubled).is_err(), "piece {which} twice");
+        assert!(restore(&doubled).is_err(), "chunk {which} twice");
         for other in 0..which {
             let mut swapped = whole.clone();
             swapped.swap(which, other);
-            assert!(restore(&swapped).is_err(), "pieces {which} and {other} swapped");
+            assert!(restore(&swapped).is_err(), "chunks {which} and {other} swapped");
         }
-        assert!(restore(&whole[..which]).is_err(), "up to piece {which}");
+        assert!(restore(&whole[..which]).is_err(), "up to chunk {which}");
     }
 }
 
 #[test]
-fn nothing_is_taken_after_an_error() {
+fn given_a_failed_restore_then_further_chunks_are_rejected() {
     let whole = chunks(&several_chunks());
     let mut restore = JobTableRestore::default();
     restore.add_chunk(&whole[0]).unwrap();
@@ -278,9 +280,9 @@
 }
 
 #[test]
-fn a_damaged_text_is_refused() {
+fn given_a_damaged_stored_text_then_decoding_and_restore_fail() {
     let text = "a text with some repetition ".repeat(20);
-    let command = list("l", "a", &text);
+    let command = finish("l", "a", &text);
     let Command::FinishItem { text: stored, .. } = &command else { panic!("a list") };
     let is_stored = |bytes: &[u8]| bytes.windows(stored.stored().len()).position(|at| at == stored.stored());
     let encoded = command.encode();
@@ -301,7 +303,7 @@
 const JOBS: [&str; 4] = ["k", "l", "m", "n"];
 const ITEMS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
-/// With bodies and texts from none to more than a piece.
+/// With bodies and texts from none to more than a chunk.
 fn commands() -> impl Strategy<Value = Vec<Command>> {
     let length = prop_oneof![5 => 0_usize..100, 5 => 100_usize..30_000, 1 => 30_000_usize..100_000];
     let job = prop::sample::select(&JOBS);
@@ -314,15 +316,15 @@
         }
         command
     });
-    let list = (job.clone(), prop::sample::select(&ITEMS), length, any::<bool>()).prop_map(
+    let finish = (job.clone(), prop::sample::select(&ITEMS), length, any::<bool>()).prop_map(
         |(job, item, length, is_plain)| match is_plain {
-            true => list_plain(job, item, length),
-            false => list(job, item, &"text ".repeat(length / 5)),
+            true => finish_plain(job, item, length),
+            false => finish(job, item, &"text ".repeat(length / 5)),
         },
     );
     let end = job.prop_map(end);
     let forget = (0_i64..100).prop_map(|before| Command::Forget { before });
-    prop::collection::vec(prop_oneof![4 => submit, 12 => list, 1 => end, 1 => forget], 0..60)
+    prop::collection::vec(prop_oneof![4 => submit, 12 => finish, 1 => end, 1 => forget], 0..60)
 }
 
 fn assert_same(a: &JobTable, b: &JobTable) {
@@ -339,10 +341,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 100, rng_seed: RngSeed::Fixed(28), failure_persistence: None, ..Default::default() })]
 
-    /// A register that goes on from a restored copy stays the same as one that played all, and a snapshot
+    /// A table that goes on from a restored copy stays the same as one that played all, and a snapshot
     /// stays what it was.
     #[test]
-    fn a_restored_copy_is_the_same(commands in commands(), at in any::<prop::sample::Index>()) {
+    fn given_any_commands_then_a_restored_table_is_equal_and_stays_equal(commands in commands(), at in any::<prop::sample::Index>()) {
         let cut = at.index(commands.len() + 1);
         let mut played = after(&commands[..cut]);
         let (snapshot, old) = (played.snapshot(), chunks(&played));
@@ -356,9 +358,9 @@
         prop_assert_eq!(encoded, old);
     }
 
-    /// Its length is foretold, and a piece over the bound holds one record with one item or output.
+    /// Its length is known before, and a chunk over the bound holds one record with one item or output.
     #[test]
-    fn no_piece_is_over_the_bound_but_one_alone(commands in commands()) {
+    fn given_any_commands_then_only_a_chunk_of_a_single_item_or_output_is_over_the_bound(commands in commands()) {
         let table = after(&commands);
         let chunks = chunks(&table);
         prop_assert_eq!(table.snapshot().encoded_len(), chunks.iter().map(|chunk| chunk.len() as u64).sum::<u64>());
--- a/crates/batch/tests/stored_text.rs
+++ b/crates/batch/tests/stored_text.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn random_letters_are_stored_in_two_thirds() {
+fn given_random_letters_then_they_are_stored_in_two_thirds() {
     for lines in [10, 25, 40] {
         let text = random_letters(lines);
         let stored = StoredText::new(text.as_bytes());
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn what_gets_no_shorter_is_plain() {
+fn given_a_text_that_gets_no_shorter_then_it_is_stored_plain() {
     let bytes: Vec<u8> = (0..=255).collect();
     for text in [&b""[..], b"short", &bytes] {
         let stored = StoredText::new(text);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_longest_text_that_is_compressed() {
+fn given_a_text_over_the_limit_then_it_is_stored_plain() {
     let longest = vec![b'x'; MAX_INFLATED_BYTES + 1];
     let stored = StoredText::new(&longest[1..]);
     assert!(stored.stored().len() < MAX_INFLATED_BYTES / 100);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_length_that_cannot_be_is_refused() {
+fn given_an_impossible_length_then_it_is_rejected() {
     let stored = StoredText::new(&vec![b'x'; 1 << 20]).stored().clone();
     let compressed = &stored[HEAD..];
     let of_length = |length: usize| StoredText::from_stored(deflated(length as u32, compressed));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn an_unknown_encoding_is_refused() {
+fn given_an_unknown_encoding_then_it_is_rejected() {
     for stored in [&b""[..], &[2], &[255, 0, 0], &[1], &[1, 0, 0, 0, 0, 0, 0, 0]] {
         assert!(StoredText::from_stored(Bytes::copy_from_slice(stored)).is_err(), "{stored:?}");
     }
@@ -97,7 +97,7 @@
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: RngSeed::Fixed(28), failure_persistence: None, ..Default::default() })]
 
     #[test]
-    fn a_text_comes_back(text in prop_oneof![any::<Vec<u8>>(), "[a-e]{0,3000}".prop_map(String::into_bytes)]) {
+    fn given_any_text_then_it_is_read_back(text in prop_oneof![any::<Vec<u8>>(), "[a-e]{0,3000}".prop_map(String::into_bytes)]) {
         let stored = StoredText::new(&text);
         prop_assert!(stored.stored().len() <= text.len() + 1);
         let again = StoredText::from_stored(stored.stored().clone()).unwrap();
@@ -107,7 +107,7 @@
 
     /// A changed byte is found by the checksum, or makes the encoding an unknown one.
     #[test]
-    fn damage_is_found(text in "[a-e]{200,3000}", at in any::<prop::sample::Index>(), flip in 2_u8..) {
+    fn given_a_changed_byte_then_decoding_fails(text in "[a-e]{200,3000}", at in any::<prop::sample::Index>(), flip in 2_u8..) {
         let mut stored = StoredText::new(text.as_bytes()).stored().to_vec();
         let at = at.index(stored.len());
         stored[at] ^= flip;
@@ -115,7 +115,7 @@
     }
 
     #[test]
-    fn garbage_does_no_harm(length in 0_u32..100_000, compressed in any::<Vec<u8>>()) {
+    fn given_any_compressed_bytes_then_inflating_does_not_panic(length in 0_u32..100_000, compressed in any::<Vec<u8>>()) {
         if let Ok(text) = StoredText::from_stored(deflated(length, &compressed)) {
             prop_assert!(text.text().is_err() || text.text().unwrap().len() == text.text_len());
         }
