--- a/crates/batch/src/item.rs
+++ b/crates/batch/src/item.rs
@@ -25,20 +25,20 @@
 
 impl JobItem {
     /// An item as it was submitted.
-    pub fn open(item: Item) -> Self {
+    pub(crate) fn open(item: Item) -> Self {
         let (id, token_count) = (Arc::from(&*item.id), item.token_count);
         JobItem { id, token_count, is_finished: false, request: Some(Arc::new(item)) }
     }
 
     /// Bytes of its [`ItemRecord`].
-    pub fn encoded_len(&self) -> usize {
+    pub(crate) fn encoded_len(&self) -> usize {
         // Whether it is open; the lengths of id and path, the count of headers, the length of the body; the tokens.
         const FIXED_LEN: usize = 1 + 4 * COUNT_LEN + size_of::<u64>();
         FIXED_LEN + self.id.len() + self.request.as_deref().map_or(0, request_encoded_len)
     }
 
     /// Bytes of memory, about.
-    pub fn memory_bytes(&self) -> usize {
+    pub(crate) fn memory_bytes(&self) -> usize {
         2 * ALLOCATION_OVERHEAD + 2 * self.id.len() + self.request.as_deref().map_or(0, request_memory_bytes)
     }
 }
@@ -83,7 +83,7 @@
 impl ItemRecord {
     /// The item; one that is not open counts as finished once its output is restored. Nothing where an item that is not open has
     /// more than its id and tokens.
-    pub fn into_job_item(self) -> Option<JobItem> {
+    pub(crate) fn into_job_item(self) -> Option<JobItem> {
         let ItemRecord { is_open, item } = self;
         if is_open {
             return Some(JobItem::open(item));
@@ -115,7 +115,7 @@
 
 impl Output {
     /// Bytes of its encoding.
-    pub fn encoded_len(&self) -> usize {
+    pub(crate) fn encoded_len(&self) -> usize {
         const FIXED_LEN: usize = size_of::<u32>() + 1 + COUNT_LEN;
         FIXED_LEN + self.text.stored().len()
     }
--- a/crates/batch/src/job.rs
+++ b/crates/batch/src/job.rs
@@ -42,7 +42,7 @@
 
 impl BatchJobHeader {
     /// Bytes of its encoding.
-    pub fn encoded_len(&self) -> usize {
+    pub(crate) fn encoded_len(&self) -> usize {
         const NUMBERS_LEN: usize = 4 * size_of::<u64>() + size_of::<u32>();
         3 * COUNT_LEN + self.texts_len() + NUMBERS_LEN
     }
@@ -102,7 +102,7 @@
 
 impl BatchJob {
     /// A batch job without items.
-    pub fn new(header: BatchJobHeader, is_ended: bool) -> Self {
+    pub(crate) fn new(header: BatchJobHeader, is_ended: bool) -> Self {
         let memory_bytes = ALLOCATION_OVERHEAD + header.texts_len();
         BatchJob {
             header: Arc::new(header),
@@ -117,7 +117,7 @@
     }
 
     /// A batch job as it is accepted; nothing where two items have the same id.
-    pub fn accepted(header: BatchJobHeader, items: &[Item]) -> Option<Self> {
+    pub(crate) fn accepted(header: BatchJobHeader, items: &[Item]) -> Option<Self> {
         let mut job = BatchJob::new(header, false);
         job.items.reserve_exact(items.len());
         for item in items {
@@ -130,7 +130,7 @@
     }
 
     /// Adds the items that a snapshot has as one group; nothing where they do not belong in this batch job or are no group.
-    pub fn restore_items(&mut self, items: Vec<JobItem>) -> Option<()> {
+    pub(crate) fn restore_items(&mut self, items: Vec<JobItem>) -> Option<()> {
         let count = items.len();
         let encoded_len = items.iter().map(JobItem::encoded_len).sum();
         if count == 0 || count > 1 && encoded_len > max_group_bytes(self.header.id.len()) {
@@ -147,7 +147,7 @@
     }
 
     /// Adds the next output of a snapshot; nothing where its item is missing, still open, or has an output already.
-    pub fn restore_output(&mut self, output: Output) -> Option<()> {
+    pub(crate) fn restore_output(&mut self, output: Output) -> Option<()> {
         let item = self.items.get_mut(output.item_index as usize)?;
         if item.is_finished || item.request.is_some() {
             return None;
@@ -158,7 +158,7 @@
     }
 
     /// Whether each item is open, finished, or ended with the batch job. Commands keep it so; a snapshot may not.
-    pub fn is_consistent(&self) -> bool {
+    pub(crate) fn is_consistent(&self) -> bool {
         self.is_ended || self.totals.items.open + self.totals.items.finished == self.items.len() as u64
     }
 
@@ -187,7 +187,12 @@
     }
 
     /// Finishes an open item. Returns its output's position, or nothing where the item is not open.
-    pub fn finish_item(&mut self, index: usize, outcome: ItemOutcome, text: &StoredText) -> Option<u64> {
+    pub(crate) fn finish_item(
+        &mut self,
+        index: usize,
+        outcome: ItemOutcome,
+        text: &StoredText,
+    ) -> Option<u64> {
         let output = Output { item_index: u32::try_from(index).ok()?, outcome, text: text.clone() };
         self.drop_request(index)?;
         self.items.get_mut(index)?.is_finished = true;
@@ -197,7 +202,7 @@
     }
 
     /// Drops all open items' requests; they will have no output.
-    pub fn end(&mut self) {
+    pub(crate) fn end(&mut self) {
         for index in 0..self.items.len() {
             let _was_open = self.drop_request(index);
         }
@@ -215,62 +220,62 @@
         Some(())
     }
 
-    pub fn header(&self) -> &Arc<BatchJobHeader> {
+    pub(crate) fn header(&self) -> &Arc<BatchJobHeader> {
         &self.header
     }
 
-    pub fn id(&self) -> &Arc<str> {
+    pub(crate) fn id(&self) -> &Arc<str> {
         &self.header.id
     }
 
-    pub fn totals(&self) -> JobTotals {
+    pub(crate) fn totals(&self) -> JobTotals {
         self.totals
     }
 
     /// Whether a client ended it.
-    pub fn is_ended(&self) -> bool {
+    pub(crate) fn is_ended(&self) -> bool {
         self.is_ended
     }
 
     /// Whether no item is open: all are finished, or the batch job ended.
-    pub fn is_closed(&self) -> bool {
+    pub(crate) fn is_closed(&self) -> bool {
         self.totals.items.open == 0
     }
 
-    pub fn item_index(&self, id: &str) -> Option<usize> {
+    pub(crate) fn item_index(&self, id: &str) -> Option<usize> {
         self.item_indices.get(id).map(|index| *index as usize)
     }
 
     /// Whether the item is neither finished nor ended with its batch job.
-    pub fn is_open(&self, index: usize) -> bool {
+    pub(crate) fn is_open(&self, index: usize) -> bool {
         self.request(index).is_some()
     }
 
     /// What an open item asks for.
-    pub fn request(&self, index: usize) -> Option<&Arc<Item>> {
+    pub(crate) fn request(&self, index: usize) -> Option<&Arc<Item>> {
         self.items.get(index)?.request.as_ref()
     }
 
     /// The body of an open item's request.
-    pub fn body(&self, index: usize) -> Option<Bytes> {
+    pub(crate) fn body(&self, index: usize) -> Option<Bytes> {
         self.request(index).map(|item| item.body.clone())
     }
 
     /// In the order of the submission.
-    pub fn items(&self) -> &[JobItem] {
+    pub(crate) fn items(&self) -> &[JobItem] {
         &self.items
     }
 
     /// In the order in which items finished.
-    pub fn outputs(&self) -> &[Output] {
+    pub(crate) fn outputs(&self) -> &[Output] {
         &self.outputs
     }
 
-    pub fn item_groups(&self) -> &Groups {
+    pub(crate) fn item_groups(&self) -> &Groups {
         &self.item_groups
     }
 
-    pub fn output_groups(&self) -> &Groups {
+    pub(crate) fn output_groups(&self) -> &Groups {
         &self.output_groups
     }
 }
--- a/crates/batch/src/json.rs
+++ b/crates/batch/src/json.rs
@@ -8,7 +8,7 @@
 ///
 /// # Errors
 /// The offset in bytes of the first fault.
-pub fn check(text: &str) -> Result<(), usize> {
+pub(crate) fn check(text: &str) -> Result<(), usize> {
     let mut scanner = Scanner { bytes: text.as_bytes(), offset: 0 };
     scanner.document().ok_or(scanner.offset)
 }
@@ -164,7 +164,7 @@
 }
 
 /// Appends a text as a JSON string: in quotes, escaped where it has to be.
-pub fn push_string(json: &mut String, text: &str) {
+pub(crate) fn push_string(json: &mut String, text: &str) {
     const DELETE: u8 = 0x7f;
     json.push('"');
     let mut copied = 0;
--- a/crates/batch/src/layout.rs
+++ b/crates/batch/src/layout.rs
@@ -40,7 +40,7 @@
 
 impl Groups {
     /// Adds the next member: to the last group where it fits, else as the first of a new one.
-    pub fn push(&mut self, encoded_len: usize, max_bytes: usize) {
+    pub(crate) fn push(&mut self, encoded_len: usize, max_bytes: usize) {
         let end = self.end() + 1;
         match self.0.last_mut() {
             Some(group) if group.encoded_len + encoded_len <= max_bytes => {
@@ -52,12 +52,12 @@
     }
 
     /// Adds a group of the next members.
-    pub fn push_group(&mut self, members: usize, encoded_len: usize) {
+    pub(crate) fn push_group(&mut self, members: usize, encoded_len: usize) {
         self.0.push(Group { end: self.end() + members, encoded_len });
     }
 
     /// A member's encoding has become shorter.
-    pub fn shrink(&mut self, member: usize, bytes: usize) {
+    pub(crate) fn shrink(&mut self, member: usize, bytes: usize) {
         let index = self.0.partition_point(|group| group.end <= member);
         if let Some(group) = self.0.get_mut(index) {
             group.encoded_len -= bytes;
@@ -65,18 +65,18 @@
     }
 
     /// How many groups there are.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.0.len()
     }
 
     /// Indices of a group's members.
-    pub fn members(&self, group: usize) -> Range<usize> {
+    pub(crate) fn members(&self, group: usize) -> Range<usize> {
         let start = group.checked_sub(1).map_or(0, |previous| self.0[previous].end);
         start..self.0[group].end
     }
 
     /// Bytes of all encodings of a group's members.
-    pub fn encoded_len(&self, group: usize) -> usize {
+    pub(crate) fn encoded_len(&self, group: usize) -> usize {
         self.0[group].encoded_len
     }
 
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -11,7 +11,7 @@
 //!
 //! All of it is deterministic: time comes with commands and calls, as Unix time in microseconds.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod command;
 mod item;
--- a/crates/batch/src/stored_text.rs
+++ b/crates/batch/src/stored_text.rs
@@ -151,7 +151,7 @@
 }
 
 /// Reads a text in its stored encoding, as a slice of the source.
-pub fn read_stored_text<R: Read + Seek>(
+pub(crate) fn read_stored_text<R: Read + Seek>(
     reader: &mut Reader<R>,
     source: Source,
 ) -> Result<StoredText, DekuError> {
@@ -160,7 +160,7 @@
 }
 
 /// Writes what [`read_stored_text`] reads.
-pub fn write_stored_text<W: Write + Seek>(
+pub(crate) fn write_stored_text<W: Write + Seek>(
     writer: &mut Writer<W>,
     text: &StoredText,
 ) -> Result<(), DekuError> {
--- a/crates/batch/src/wire.rs
+++ b/crates/batch/src/wire.rs
@@ -12,14 +12,14 @@
 use deku::prelude::*;
 
 /// Bytes of a count.
-pub const COUNT_LEN: usize = 4;
+pub(crate) const COUNT_LEN: usize = 4;
 
 /// The buffer that is decoded, for readers that slice it. Writers have none.
 #[derive(Clone, Copy, Default)]
 pub struct Source<'a>(Option<&'a Bytes>);
 
 /// Encodes a value, into a buffer of `capacity` bytes where that is enough.
-pub fn encode(value: &impl DekuWriter, capacity: usize) -> Bytes {
+pub(crate) fn encode(value: &impl DekuWriter, capacity: usize) -> Bytes {
     let mut buffer = Cursor::new(Vec::with_capacity(capacity));
     value.to_writer(&mut Writer::new(&mut buffer), ()).expect("memory takes all, and no length is over 4 GB");
     buffer.into_inner().into()
@@ -29,14 +29,14 @@
 ///
 /// # Errors
 /// Where they are none, or more than one.
-pub fn decode<'a, T: for<'r> DekuReader<'r, Source<'a>>>(bytes: &'a Bytes) -> Result<T, DekuError> {
+pub(crate) fn decode<'a, T: for<'r> DekuReader<'r, Source<'a>>>(bytes: &'a Bytes) -> Result<T, DekuError> {
     let mut reader = Reader::new(Cursor::new(&bytes[..]));
     let value = T::from_reader_with_ctx(&mut reader, Source(Some(bytes)))?;
     if reader.end() { Ok(value) } else { Err(malformed("more bytes than one")) }
 }
 
 /// An error that says what was not found.
-pub fn malformed(expected: &'static str) -> DekuError {
+pub(crate) fn malformed(expected: &'static str) -> DekuError {
     DekuError::Parse(expected.into())
 }
 
@@ -50,7 +50,7 @@
 }
 
 /// Reads bytes as a slice of the source.
-pub fn read_bytes<R: Read + Seek>(reader: &mut Reader<R>, source: Source) -> Result<Bytes, DekuError> {
+pub(crate) fn read_bytes<R: Read + Seek>(reader: &mut Reader<R>, source: Source) -> Result<Bytes, DekuError> {
     let count = read_count(reader)?;
     let Source(Some(source)) = source else { return Err(malformed("bytes of no source")) };
     let start = reader.bits_read / 8;
@@ -62,20 +62,20 @@
 }
 
 /// Writes what [`read_bytes`] reads.
-pub fn write_bytes<W: Write + Seek>(writer: &mut Writer<W>, bytes: &[u8]) -> Result<(), DekuError> {
+pub(crate) fn write_bytes<W: Write + Seek>(writer: &mut Writer<W>, bytes: &[u8]) -> Result<(), DekuError> {
     write_count(writer, bytes.len())?;
     writer.write_bytes(bytes)
 }
 
 /// Reads a text as a copy, so that it does not keep the source in memory.
-pub fn read_text<R: Read + Seek>(reader: &mut Reader<R>, source: Source) -> Result<String, DekuError> {
+pub(crate) fn read_text<R: Read + Seek>(reader: &mut Reader<R>, source: Source) -> Result<String, DekuError> {
     let bytes = read_bytes(reader, source)?;
     let text = str::from_utf8(&bytes).map_err(|_| malformed("a text that is not UTF-8"))?;
     Ok(text.to_owned())
 }
 
 /// As [`read_text`], reference-counted.
-pub fn read_shared_text<R: Read + Seek>(
+pub(crate) fn read_shared_text<R: Read + Seek>(
     reader: &mut Reader<R>,
     source: Source,
 ) -> Result<Arc<str>, DekuError> {
@@ -83,12 +83,15 @@
 }
 
 /// Writes what [`read_text`] reads.
-pub fn write_text<W: Write + Seek>(writer: &mut Writer<W>, text: &impl AsRef<str>) -> Result<(), DekuError> {
+pub(crate) fn write_text<W: Write + Seek>(
+    writer: &mut Writer<W>,
+    text: &impl AsRef<str>,
+) -> Result<(), DekuError> {
     write_bytes(writer, text.as_ref().as_bytes())
 }
 
 /// Reads a list.
-pub fn read_list<'a, R: Read + Seek, T: for<'r> DekuReader<'r, Source<'a>>>(
+pub(crate) fn read_list<'a, R: Read + Seek, T: for<'r> DekuReader<'r, Source<'a>>>(
     reader: &mut Reader<R>,
     source: Source<'a>,
 ) -> Result<Vec<T>, DekuError> {
@@ -96,7 +99,7 @@
 }
 
 /// Writes what [`read_list`] reads.
-pub fn write_list<W: Write + Seek>(
+pub(crate) fn write_list<W: Write + Seek>(
     writer: &mut Writer<W>,
     list: &[impl DekuWriter],
 ) -> Result<(), DekuError> {
@@ -105,7 +108,7 @@
 }
 
 /// Reads a list of pairs of texts.
-pub fn read_text_pairs<R: Read + Seek>(
+pub(crate) fn read_text_pairs<R: Read + Seek>(
     reader: &mut Reader<R>,
     source: Source,
 ) -> Result<Vec<(String, String)>, DekuError> {
@@ -113,7 +116,7 @@
 }
 
 /// Writes what [`read_text_pairs`] reads.
-pub fn write_text_pairs<W: Write + Seek>(
+pub(crate) fn write_text_pairs<W: Write + Seek>(
     writer: &mut Writer<W>,
     pairs: &[(String, String)],
 ) -> Result<(), DekuError> {
@@ -125,7 +128,7 @@
 }
 
 /// Reads a map: each key by `read_key`, followed by its value. Of equal keys the last one counts.
-pub fn read_map<'a, R: Read + Seek, K: Ord, V: for<'r> DekuReader<'r, Source<'a>>>(
+pub(crate) fn read_map<'a, R: Read + Seek, K: Ord, V: for<'r> DekuReader<'r, Source<'a>>>(
     reader: &mut Reader<R>,
     source: Source<'a>,
     read_key: impl Fn(&mut Reader<R>, Source<'a>) -> Result<K, DekuError>,
@@ -137,7 +140,7 @@
 }
 
 /// Writes what [`read_map`] reads.
-pub fn write_map<W: Write + Seek, K>(
+pub(crate) fn write_map<W: Write + Seek, K>(
     writer: &mut Writer<W>,
     map: &BTreeMap<K, impl DekuWriter>,
     write_key: impl Fn(&mut Writer<W>, &K) -> Result<(), DekuError>,
