--- a/crates/batch/examples/costs.rs
+++ b/crates/batch/examples/costs.rs
@@ -8,10 +8,12 @@
 
 /// Texts of each kind and length.
 const TEXTS: usize = 400;
+/// Batch jobs of the table whose snapshot is measured.
 const JOBS: u64 = 300;
+/// Items of each batch job.
 const ITEMS: u64 = 100;
 
-/// A source of numbers in no order (xorshift).
+/// Pseudo-random numbers (xorshift64).
 struct Random(u64);
 
 impl Random {
@@ -22,8 +24,8 @@
         self.0
     }
 
-    /// Lines of about a hundred letters in no order behind a few numbers.
-    fn letters(&mut self, length: usize) -> String {
+    /// Lines of about a hundred random letters behind a few numbers, as workers answer.
+    fn lines(&mut self, length: usize) -> String {
         let mut text = String::new();
         for line in 1.. {
             let count = 80 + self.next() % 40;
@@ -39,20 +41,21 @@
     }
 }
 
-fn micros_of(mut work: impl FnMut()) -> f64 {
+fn elapsed_micros(mut work: impl FnMut()) -> f64 {
     let start = Instant::now();
     work();
     start.elapsed().as_secs_f64() * 1e6
 }
 
-fn show_texts(name: &str, texts: &[String]) {
+fn print_text_costs(name: &str, texts: &[String]) {
     let kilobytes = texts.iter().map(String::len).sum::<usize>() as f64 / 1000.0;
     let mut stored = Vec::new();
-    let compress = micros_of(|| stored = texts.iter().map(|text| StoredText::new(text.as_bytes())).collect());
-    let check = micros_of(|| {
+    let compress =
+        elapsed_micros(|| stored = texts.iter().map(|text| StoredText::new(text.as_bytes())).collect());
+    let check = elapsed_micros(|| {
         stored.iter().for_each(|text| drop(black_box(StoredText::from_stored(text.stored().clone()))));
     });
-    let decompress = micros_of(|| stored.iter().for_each(|text| drop(black_box(text.text()))));
+    let decompress = elapsed_micros(|| stored.iter().for_each(|text| drop(black_box(text.text()))));
     let bytes = stored.iter().map(|text| text.stored().len()).sum::<usize>() as f64;
     println!(
         "{name}: stored {:.3}, compress {:.1}, check {:.2}, decompress {:.1} us/KB",
@@ -87,7 +90,7 @@
             items: (0..ITEMS).map(item).collect(),
         });
         for item in 0..ITEMS {
-            let text = StoredText::plain(random.letters(3300).as_bytes());
+            let text = StoredText::plain(random.lines(3300).as_bytes());
             let item = format!("{job:016x}-{item:06}");
             table.apply(&Command::FinishItem { job: id.clone(), item, outcome: ItemOutcome::Complete, text });
         }
@@ -95,19 +98,19 @@
     table
 }
 
-fn show_snapshot(table: &JobTable) {
+fn print_snapshot_costs(table: &JobTable) {
     let start = Instant::now();
     let snapshot = table.snapshot();
     let taken = start.elapsed();
     let mut restore = JobTableRestore::default();
-    let (mut encode, mut take) = (Vec::new(), Vec::new());
+    let (mut encode_times, mut add_times) = (Vec::new(), Vec::new());
     for number in 0..snapshot.chunk_count() {
         let start = Instant::now();
         let chunk = snapshot.chunk(number);
-        encode.push(start.elapsed());
+        encode_times.push(start.elapsed());
         let start = Instant::now();
         restore.add_chunk(&chunk).expect("a chunk of a snapshot");
-        take.push(start.elapsed());
+        add_times.push(start.elapsed());
     }
     let start = Instant::now();
     let restored = restore.finish().expect("a whole snapshot");
@@ -118,7 +121,7 @@
         snapshot.encoded_len(),
         snapshot.chunk_count()
     );
-    for (name, times) in [("encode", encode), ("restore", take)] {
+    for (name, times) in [("encode", encode_times), ("restore", add_times)] {
         let sum: Duration = times.iter().sum();
         println!("{name}: all chunks {sum:?}, the longest {:?}", times.iter().max().unwrap_or(&sum));
     }
@@ -127,8 +130,8 @@
 fn main() {
     let mut random = Random(88_172_645_463_325_252);
     for length in [1000, 3300, 5000] {
-        let texts: Vec<String> = (0..TEXTS).map(|_| random.letters(length)).collect();
-        show_texts(&format!("letters, {length} bytes"), &texts);
+        let texts: Vec<String> = (0..TEXTS).map(|_| random.lines(length)).collect();
+        print_text_costs(&format!("letters, {length} bytes"), &texts);
     }
     let prose = include_str!("../../../docs/system.md");
     for length in [1000, 3300] {
@@ -139,7 +142,7 @@
             .take(TEXTS)
             .map(|chunk| String::from_utf8_lossy(chunk).into_owned())
             .collect();
-        show_texts(&format!("prose, {length} bytes"), &texts);
+        print_text_costs(&format!("prose, {length} bytes"), &texts);
     }
-    show_snapshot(&full_table(&mut random));
+    print_snapshot_costs(&full_table(&mut random));
 }
--- a/crates/batch/tests/common/mod.rs
+++ b/crates/batch/tests/common/mod.rs
@@ -83,6 +83,15 @@
     Some(answer)
 }
 
+/// The table that these commands make.
+pub fn after(commands: &[Command]) -> JobTable {
+    let mut table = JobTable::default();
+    for command in commands {
+        table.apply(command);
+    }
+    table
+}
+
 /// All chunks of its snapshot.
 pub fn chunks(table: &JobTable) -> Vec<Bytes> {
     let snapshot = table.snapshot();
--- a/crates/batch/tests/job_table.rs
+++ b/crates/batch/tests/job_table.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bytes::Bytes;
-use common::{ROUTE, abandon, chunks, end, finish, item, read, restore, submit, submit_within};
+use common::{ROUTE, abandon, after, chunks, end, finish, item, read, restore, submit, submit_within};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rainlug::SECOND;
@@ -13,14 +13,6 @@
     Applied, Command, ItemOutcome, ItemTotals, JobTable, OutputPage, StoredText, parse_submission,
 };
 
-fn after(commands: &[Command]) -> JobTable {
-    let mut table = JobTable::default();
-    for command in commands {
-        table.apply(command);
-    }
-    table
-}
-
 #[test]
 fn given_an_accepted_job_when_submitted_again_then_it_is_already_accepted() {
     let mut table = JobTable::default();
--- a/crates/batch/tests/snapshot.rs
+++ b/crates/batch/tests/snapshot.rs
@@ -6,21 +6,13 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use bytes::Bytes;
-use common::{DUE, abandon, chunks, end, finish, item, read, restore, submit, submit_within};
+use common::{DUE, abandon, after, chunks, end, finish, item, read, restore, submit, submit_within};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rainlug_batch::{
     Applied, CHUNK_BYTES, Command, Item, ItemOutcome, JobTable, JobTableRestore, StoredText,
 };
 
-fn after(commands: &[Command]) -> JobTable {
-    let mut table = JobTable::default();
-    for command in commands {
-        table.apply(command);
-    }
-    table
-}
-
 /// An output of so many bytes, stored plain.
 fn finish_plain(job: &str, item: &str, length: usize) -> Command {
     let text = StoredText::plain(&vec![b'x'; length]);
