--- a/crates/coordinator/src/topology.rs
+++ b/crates/coordinator/src/topology.rs
@@ -160,5 +160,5 @@
 /// # Errors
 /// Where a member's name or zone is not UTF-8.
 pub fn decode_members(records: &[MemberRecord]) -> Result<Vec<Member>, DecodeError> {
-    records.iter().map(MemberRecord::member).collect()
+    records.iter().map(MemberRecord::to_member).collect()
 }
--- a/crates/coordinator/src/worker_calls.rs
+++ b/crates/coordinator/src/worker_calls.rs
@@ -6,7 +6,7 @@
 use rainlug_registry::{Phase, Worker};
 
 use crate::dissemination::{AwaitedUpdate, PendingAcknowledgement, RETRY_LAST_CALL_AFTER};
-use crate::{Answer, Coordinator, DISSEMINATION_TIMEOUT, Origin};
+use crate::{Answer, Coordinator, MAX_SPREAD_WAIT, Origin};
 
 impl Coordinator {
     /// Takes a worker's heartbeat. One that says that the worker drains is acknowledged only once that is known.
@@ -14,14 +14,14 @@
         let (id, service, phase) = (worker.id.clone(), worker.service.clone(), worker.phase);
         self.publish_worker(worker);
         if self.is_isolated(self.now) {
-            return self.answer(ticket, Answer::later(503, RETRY_LAST_CALL_AFTER));
+            return self.answer(ticket, Answer::retry_after(503, RETRY_LAST_CALL_AFTER));
         }
         let other_registrar = self.registrar(&service).filter(|at| *at != self.info.peer_address);
         if other_registrar.is_none() {
             self.heartbeats.insert(id.clone(), self.now.steady);
         }
         let control_address =
-            other_registrar.and_then(|at| self.live_peers.get(&at)).and_then(|peer| peer.control_address);
+            other_registrar.and_then(|at| self.peers.live.get(&at)).and_then(|peer| peer.control_address);
         let body = control_address.map_or("{}".to_owned(), |at| format!("{{\"beat_addr\":\"{at}\"}}"));
         let answer = Answer::json(200, body);
         if phase >= Phase::Draining {
@@ -42,7 +42,7 @@
         self.publish_worker(gone);
         self.heartbeats.remove(&id);
         if self.is_isolated(self.now) {
-            return self.answer(ticket, Answer::later(503, RETRY_LAST_CALL_AFTER));
+            return self.answer(ticket, Answer::retry_after(503, RETRY_LAST_CALL_AFTER));
         }
         self.acknowledge_when_disseminated(ticket, Answer::json(200, "{}"), id);
     }
@@ -56,7 +56,7 @@
         self.pending_acknowledgements.push(PendingAcknowledgement {
             origin: Origin::Caller(ticket),
             answer,
-            until: self.now.steady + DISSEMINATION_TIMEOUT,
+            until: self.now.steady + MAX_SPREAD_WAIT,
             update: AwaitedUpdate::Worker(worker),
         });
     }
