--- a/crates/tier/src/main.rs
+++ b/crates/tier/src/main.rs
@@ -1,4 +1,7 @@
 //! `rainlug`: the serving tier. Each role of a process is a subcommand, and so is each thing that an operator asks for.
+//!
+//! The names of subcommands and options are the users': where a name in the code differs, an attribute keeps theirs. Doc comments on
+//! what derives `Bpaf` are the text of `--help`.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -14,6 +17,11 @@
     self, ServeOptions, WorkerOptions, exit_with_error, serve_options, worker_options,
 };
 
+/// What `rainlug check` ends with where a file is not sound.
+const EXIT_NOT_SOUND: u8 = 2;
+/// What other subcommands end with where they fail.
+const EXIT_FAILURE: u8 = 1;
+
 /// A serving tier with a batch interface
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
@@ -38,24 +46,24 @@
     },
     /// Lists the tier's processes
     #[bpaf(command)]
-    Members(#[bpaf(external(asked))] Asked),
+    Members(#[bpaf(external(target))] Target),
     /// Lists the workers
     #[bpaf(command)]
-    Workers(#[bpaf(external(asked))] Asked),
+    Workers(#[bpaf(external(target))] Target),
     /// Lists the parts of the state, with who leads and who keeps each
-    #[bpaf(command)]
-    Parts(#[bpaf(external(asked))] Asked),
+    #[bpaf(command("parts"))]
+    Shards(#[bpaf(external(target))] Target),
     /// Lists the stores
     #[bpaf(command)]
-    Stores(#[bpaf(external(asked))] Asked),
+    Stores(#[bpaf(external(target))] Target),
     /// Reads or changes the configuration in force
     #[bpaf(command)]
-    Configuration(#[bpaf(external(operation))] Operation),
+    Configuration(#[bpaf(external(configuration_command))] ConfigurationCommand),
     /// Asks for a store to be emptied
     #[bpaf(command)]
     Retire {
-        #[bpaf(external(asked))]
-        asked: Asked,
+        #[bpaf(external(target))]
+        target: Target,
         /// Seconds that emptying it may take
         #[bpaf(long, argument("S"), fallback(10), display_fallback)]
         over_s: u64,
@@ -69,13 +77,13 @@
         store: String,
     },
     /// Shows a process's figures
-    #[bpaf(command)]
-    Figures(#[bpaf(external(asked))] Asked),
+    #[bpaf(command("figures"))]
+    Metrics(#[bpaf(external(target))] Target),
     /// Reads all results of a batch job, at a front address
-    #[bpaf(command)]
-    Lot {
-        #[bpaf(external(asked))]
-        asked: Asked,
+    #[bpaf(command("lot"))]
+    JobResults {
+        #[bpaf(external(target))]
+        target: Target,
         /// The host of the batch job's route
         #[bpaf(long, argument("HOST"))]
         host: String,
@@ -88,50 +96,50 @@
 }
 
 #[derive(Clone, Debug, Bpaf)]
-struct Asked {
+struct Target {
     /// Whom to ask
-    #[bpaf(long, argument("HOST:PORT"))]
-    at: String,
+    #[bpaf(long("at"), argument("HOST:PORT"))]
+    address: String,
     /// Answers as JSON
     json: bool,
 }
 
 #[derive(Clone, Debug, Bpaf)]
-enum Operation {
+enum ConfigurationCommand {
     /// Shows the configuration in force
     #[bpaf(command)]
-    Get(#[bpaf(external(asked))] Asked),
+    Get(#[bpaf(external(target))] Target),
     /// Puts a file's configuration in force
     #[bpaf(command)]
     Put {
-        #[bpaf(external(asked))]
-        asked: Asked,
+        #[bpaf(external(target))]
+        target: Target,
         /// The version that it builds on; without this, the one in force
-        #[bpaf(long, argument("N"))]
-        if_match: Option<u64>,
+        #[bpaf(long("if-match"), argument("N"))]
+        base_version: Option<u64>,
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
     /// Shows what a file would change of the configuration in force
     #[bpaf(command)]
     Diff {
-        #[bpaf(external(asked))]
-        asked: Asked,
+        #[bpaf(external(target))]
+        target: Target,
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
 }
 
-/// Prints what an operator asked for.
-fn show(what: impl Future<Output = Result<String, operator::Error>>) -> ExitCode {
+/// Runs an operator's subcommand, and prints its result.
+fn run_operator(command: impl Future<Output = Result<String, operator::Error>>) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return exit_with_error(1, &error),
+        Err(error) => return exit_with_error(EXIT_FAILURE, &error),
     };
-    match runtime.block_on(what) {
+    match runtime.block_on(command) {
         Ok(text) => {
             use std::io::Write;
-            // Who reads no further has read enough.
+            // A reader that closes the pipe has read enough.
             let _ = std::io::stdout().write_all(text.as_bytes());
             ExitCode::SUCCESS
         }
@@ -139,6 +147,18 @@
     }
 }
 
+fn run_configuration(command: ConfigurationCommand) -> ExitCode {
+    match command {
+        ConfigurationCommand::Get(to) => run_operator(operator::get_configuration(&to.address)),
+        ConfigurationCommand::Put { target: to, base_version, file } => {
+            run_operator(operator::put_configuration(&to.address, &file, base_version, to.json))
+        }
+        ConfigurationCommand::Diff { target: to, file } => {
+            run_operator(operator::diff_configuration(&to.address, &file, to.json))
+        }
+    }
+}
+
 fn main() -> ExitCode {
     match rainlug().run() {
         Rainlug::Gateway(options) => roles::serve(ProcessRole::Gateway, options),
@@ -146,27 +166,23 @@
         Rainlug::Worker(options) => roles::serve_worker(options),
         Rainlug::Local(plan) => match roles::block_on_local(local::run(plan)) {
             Ok(()) => ExitCode::SUCCESS,
-            Err(error) => exit_with_error(1, &error),
+            Err(error) => exit_with_error(EXIT_FAILURE, &error),
         },
-        Rainlug::Check { files } => ExitCode::from(if check::check_files(&files) { 0 } else { 2 }),
-        Rainlug::Members(a) => show(operator::list::<Members>(&a.at, a.json)),
-        Rainlug::Workers(a) => show(operator::list::<Workers>(&a.at, a.json)),
-        Rainlug::Parts(a) => show(operator::list::<Shards>(&a.at, a.json)),
-        Rainlug::Stores(a) => show(operator::list::<Stores>(&a.at, a.json)),
-        Rainlug::Figures(a) => show(operator::read_metrics(&a.at, a.json)),
-        Rainlug::Configuration(Operation::Get(a)) => show(operator::get_configuration(&a.at)),
-        Rainlug::Configuration(Operation::Put { asked: a, if_match, file }) => {
-            show(operator::put_configuration(&a.at, &file, if_match, a.json))
-        }
-        Rainlug::Configuration(Operation::Diff { asked: a, file }) => {
-            show(operator::diff_configuration(&a.at, &file, a.json))
-        }
-        Rainlug::Retire { asked: a, over_s, watch, wait_s, store } => {
-            let retirement = Retirement { store, over_s, watch: watch.then(|| Duration::from_secs(wait_s)) };
-            show(operator::retire_store(&a.at, &retirement, a.json))
+        Rainlug::Check { files } if check::check_files(&files) => ExitCode::SUCCESS,
+        Rainlug::Check { .. } => ExitCode::from(EXIT_NOT_SOUND),
+        Rainlug::Members(to) => run_operator(operator::list::<Members>(&to.address, to.json)),
+        Rainlug::Workers(to) => run_operator(operator::list::<Workers>(&to.address, to.json)),
+        Rainlug::Shards(to) => run_operator(operator::list::<Shards>(&to.address, to.json)),
+        Rainlug::Stores(to) => run_operator(operator::list::<Stores>(&to.address, to.json)),
+        Rainlug::Metrics(to) => run_operator(operator::read_metrics(&to.address, to.json)),
+        Rainlug::Configuration(command) => run_configuration(command),
+        Rainlug::Retire { target: to, over_s, watch, wait_s, store } => {
+            let watch = watch.then(|| Duration::from_secs(wait_s));
+            run_operator(operator::retire_store(&to.address, &Retirement { store, over_s, watch }, to.json))
         }
-        Rainlug::Lot { asked: a, host, wait_s, id } => {
-            show(operator::read_job_results(&a.at, &host, &id, Duration::from_secs(wait_s), a.json))
+        Rainlug::JobResults { target: to, host, wait_s, id } => {
+            let wait = Duration::from_secs(wait_s);
+            run_operator(operator::read_job_results(&to.address, &host, &id, wait, to.json))
         }
     }
 }
