--- a/crates/tier/tests/check.rs
+++ b/crates/tier/tests/check.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_sound_file_is_sound_and_fields_that_are_not_known_do_not_matter() {
+fn given_a_sound_file_with_unknown_fields_when_checked_then_it_is_sound() {
     assert_eq!(checked("node.toml", SOUND), (Some(0), vec!["sound".to_owned()]));
     let settings = Settings::parse(SOUND).unwrap();
     assert_eq!(
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn link_and_time_to_be_whole_are_read_and_have_defaults_where_the_file_does_not_tell() {
+fn given_link_and_sync_time_when_absent_or_zero_then_defaults_apply() {
     let of = |text: &str| {
         let settings = Settings::parse(text).unwrap();
         (settings.limits.link_bytes_per_second(), settings.bounds.sync_time())
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn each_of_ten_faults_of_a_settings_file_is_named_with_its_place_and_what_was_expected() {
+fn given_ten_faults_in_settings_when_checked_then_each_is_reported_with_place_and_expectation() {
     let (code, lines) = checked("node.toml", TEN_FAULTS);
     assert_eq!(code, Some(2));
     let expected = [
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn each_of_ten_faults_of_a_configuration_is_named_with_its_place_and_what_was_expected() {
+fn given_ten_faults_in_a_configuration_when_checked_then_each_is_reported_with_place_and_expectation() {
     let (code, lines) = checked("configuration.json", TEN_FAULTS_JSON);
     assert_eq!(code, Some(2));
     let mut found = places(&lines);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn what_a_file_says_that_it_serves_needs_its_addresses() {
+fn given_served_roles_when_their_addresses_are_missing_then_check_reports_them_and_parse_does_not() {
     let text =
         SOUND.replace("ready = \"10.1.0.35:8140\"\n", "").replace("control = \"10.1.0.35:8146\"\n", "");
     assert_eq!(places(&checked("node.toml", &text).1), ["listen.ready", "listen.control"]);
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_part_that_is_no_table_is_told_once_and_broken_toml_with_its_line() {
+fn given_a_section_that_is_no_table_when_read_then_it_is_reported_once_and_broken_toml_with_its_line() {
     let text = SOUND.replace("[limits]", "limits = 3\n[other]");
     // What was meant for `limits` is another part's now.
     let found = Settings::parse(&text.replace("limits = 3\n", "")).unwrap_err();
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn files_that_are_not_there_or_of_no_kind_are_findings_too_and_all_files_are_checked() {
+fn given_missing_and_unknown_files_when_checked_then_they_are_findings_and_all_files_are_checked() {
     let dir = tempfile::tempdir().unwrap();
     let (sound, odd) = (dir.path().join("node.toml"), dir.path().join("node.yaml"));
     std::fs::write(&sound, SOUND).unwrap();
@@ -212,7 +212,7 @@
 
     /// Whatever stands in a file, the check ends with findings or without, and what it passes can be read.
     #[test]
-    fn any_change_of_a_settings_file_is_read_or_named(
+    fn given_any_change_of_a_settings_file_when_checked_then_it_is_read_or_reported(
         at in 0..SOUND.len(), cut in 0..40usize, put in "[ -~\n]{0,12}",
     ) {
         let end = (at + cut).min(SOUND.len());
@@ -223,7 +223,7 @@
     }
 
     #[test]
-    fn any_bytes_are_a_configuration_or_named(bytes in prop::collection::vec(any::<u8>(), 0..200), at in 0..400usize) {
+    fn given_any_bytes_when_checked_as_configuration_then_faults_are_reported(bytes in prop::collection::vec(any::<u8>(), 0..200), at in 0..400usize) {
         let mut text = TEN_FAULTS_JSON.as_bytes()[..at.min(TEN_FAULTS_JSON.len())].to_vec();
         text.extend(bytes);
         prop_assert!(!check::check_configuration(text.into()).is_empty());
--- a/crates/tier/tests/disk.rs
+++ b/crates/tier/tests/disk.rs
@@ -10,11 +10,11 @@
 const CAPACITY: u64 = 1 << 20;
 
 #[test]
-fn an_identity_is_given_once_and_records_come_back() {
+fn given_a_new_disk_when_reopened_then_identity_and_records_are_kept() {
     let above = tempfile::tempdir().unwrap();
     let dir = above.path().join("data").join("store");
-    let (told, mut reports) = mpsc::unbounded_channel();
-    let (mut disk, logs) = Disk::open(&dir, CAPACITY, 7, told).unwrap();
+    let (sender, mut reports) = mpsc::unbounded_channel();
+    let (mut disk, logs) = Disk::open(&dir, CAPACITY, 7, sender).unwrap();
     assert_eq!((disk.id(), logs.len()), (7, 0));
     disk.append(1, 1, vec![Bytes::from("a")]);
     disk.append(1, 2, vec![Bytes::from("b")]);
@@ -30,28 +30,28 @@
         }
     }
     drop(disk);
-    let (told, _reports) = mpsc::unbounded_channel();
-    let (disk, logs) = Disk::open(&dir, CAPACITY, 8, told).unwrap();
+    let (sender, _reports) = mpsc::unbounded_channel();
+    let (disk, logs) = Disk::open(&dir, CAPACITY, 8, sender).unwrap();
     assert_eq!(disk.id(), 7, "the disk's, and not what was drawn now");
     assert_eq!(logs, [(1, vec![Bytes::from("a"), Bytes::from("b")])]);
 }
 
 #[test]
-fn an_identity_that_lost_its_record_with_the_power_is_given_anew() {
+fn given_an_identity_file_without_a_record_when_opened_then_a_new_identity_is_stored() {
     let dir = tempfile::tempdir().unwrap();
     fs::write(dir.path().join("identity"), b"").unwrap();
-    let (told, _reports) = mpsc::unbounded_channel();
-    let (disk, _) = Disk::open(dir.path(), CAPACITY, 9, told).unwrap();
+    let (sender, _reports) = mpsc::unbounded_channel();
+    let (disk, _) = Disk::open(dir.path(), CAPACITY, 9, sender).unwrap();
     assert_eq!(disk.id(), 9);
 }
 
 #[test]
-fn a_folder_that_cannot_be_made_is_named() {
+fn given_a_file_in_place_of_the_folder_when_opened_then_the_error_names_it() {
     let above = tempfile::tempdir().unwrap();
     let dir = above.path().join("data");
     fs::write(&dir, b"a file").unwrap();
-    let (told, _reports) = mpsc::unbounded_channel();
-    match Disk::open(&dir, CAPACITY, 9, told) {
+    let (sender, _reports) = mpsc::unbounded_channel();
+    match Disk::open(&dir, CAPACITY, 9, sender) {
         Err(Error::Io(named, _)) => assert_eq!(named, dir),
         Err(other) => panic!("{other}"),
         Ok(_) => panic!("a file is no folder"),
@@ -59,10 +59,10 @@
 }
 
 #[test]
-fn a_disk_that_gets_another_identity_has_nothing_of_the_earlier_one_and_keeps_the_new_one() {
+fn given_records_when_the_identity_is_renewed_then_they_are_gone_and_the_new_identity_is_kept() {
     let dir = tempfile::tempdir().unwrap();
-    let (told, mut reports) = mpsc::unbounded_channel();
-    let (mut disk, _) = Disk::open(dir.path(), CAPACITY, 7, told).unwrap();
+    let (sender, mut reports) = mpsc::unbounded_channel();
+    let (mut disk, _) = Disk::open(dir.path(), CAPACITY, 7, sender).unwrap();
     disk.append(1, 5, vec![Bytes::from("earlier")]);
     assert!(matches!(reports.blocking_recv(), Some(WriterReport { disk: 7, .. })));
     disk.renew_identity(8).unwrap();
@@ -70,17 +70,17 @@
     disk.append(1, 1, vec![Bytes::from("later")]);
     assert!(matches!(reports.blocking_recv(), Some(WriterReport { disk: 8, shard: 1, .. })));
     drop(disk);
-    let (told, _reports) = mpsc::unbounded_channel();
-    let (disk, logs) = Disk::open(dir.path(), CAPACITY, 9, told).unwrap();
+    let (sender, _reports) = mpsc::unbounded_channel();
+    let (disk, logs) = Disk::open(dir.path(), CAPACITY, 9, sender).unwrap();
     assert_eq!(disk.id(), 8);
     assert_eq!(logs, [(1, vec![Bytes::from("later")])]);
 }
 
 #[test]
-fn a_disk_that_gets_another_identity_has_all_its_space_again() {
+fn given_records_when_the_identity_is_renewed_then_their_space_is_free_again() {
     let dir = tempfile::tempdir().unwrap();
-    let (told, mut reports) = mpsc::unbounded_channel();
-    let (mut disk, _) = Disk::open(dir.path(), CAPACITY, 7, told).unwrap();
+    let (sender, mut reports) = mpsc::unbounded_channel();
+    let (mut disk, _) = Disk::open(dir.path(), CAPACITY, 7, sender).unwrap();
     disk.append(1, 1, vec![Bytes::from(vec![1; 1000])]);
     assert!(matches!(reports.blocking_recv(), Some(WriterReport { disk: 7, .. })));
     let space = disk.space().clone();
--- a/crates/tier/tests/faults.rs
+++ b/crates/tier/tests/faults.rs
@@ -20,17 +20,17 @@
     LocalSet::new().block_on(&runtime, async { timeout(Duration::from_secs(15), test).await.unwrap() });
 }
 
-/// Two processes' lines: the sender, where the other one listens and its lines, and what that has heard.
+/// Two processes: the sender, where the receiver listens, the receiver, and the frames that it has received.
 async fn pair() -> (Rc<Peers>, SocketAddr, Rc<Peers>, mpsc::UnboundedReceiver<Bytes>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let to = listener.local_addr().unwrap();
-    let (tell, told) = mpsc::unbounded_channel();
-    let taken = Rc::new(move |_, bytes: Bytes| {
-        let _ = tell.send(bytes);
+    let (sender, received) = mpsc::unbounded_channel();
+    let handler = Rc::new(move |_, bytes: Bytes| {
+        let _ = sender.send(bytes);
     });
-    let hears = Peers::new(to);
-    spawn_local(hears.clone().listen(listener, taken));
-    (Peers::new(me()), to, hears, told)
+    let receiver = Peers::new(to);
+    spawn_local(receiver.clone().listen(listener, handler));
+    (Peers::new(me()), to, receiver, received)
 }
 
 fn me() -> SocketAddr {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_file_says_to_whom_and_from_whom_nothing_passes() {
+fn given_a_fault_file_when_applied_then_sending_and_receiving_are_blocked_by_address() {
     let (other, third): (SocketAddr, SocketAddr) =
         ("127.0.0.2:7".parse().unwrap(), "127.0.0.3:7".parse().unwrap());
     let faults = Faults::default();
@@ -55,44 +55,44 @@
 }
 
 #[test]
-fn frames_wait_out_a_short_cut_at_either_side() {
+fn given_a_short_partition_at_either_side_when_it_heals_then_frames_arrive() {
     run(async {
-        let (peers, to, hears, mut told) = pair().await;
+        let (peers, to, receiver, mut received) = pair().await;
         send(&peers, to, "first");
-        assert_eq!(told.recv().await.unwrap(), "first");
+        assert_eq!(received.recv().await.unwrap(), "first");
         peers.faults().apply(&format!("to {to}"));
         send(&peers, to, "second");
-        assert!(timeout(QUIET, told.recv()).await.is_err());
+        assert!(timeout(QUIET, received.recv()).await.is_err());
         peers.faults().apply("");
-        assert_eq!(told.recv().await.unwrap(), "second");
-        hears.faults().apply(&format!("from {}", me()));
+        assert_eq!(received.recv().await.unwrap(), "second");
+        receiver.faults().apply(&format!("from {}", me()));
         send(&peers, to, "third");
-        assert!(timeout(QUIET, told.recv()).await.is_err());
-        hears.faults().apply("");
-        assert_eq!(told.recv().await.unwrap(), "third");
+        assert!(timeout(QUIET, received.recv()).await.is_err());
+        receiver.faults().apply("");
+        assert_eq!(received.recv().await.unwrap(), "third");
     });
 }
 
 #[test]
-fn a_long_cut_and_a_reset_break_the_connection_and_a_new_one_is_made() {
+fn given_a_long_partition_or_a_reset_when_it_ends_then_a_new_connection_is_made() {
     run(async {
-        let (peers, to, _hears, mut told) = pair().await;
+        let (peers, to, _hears, mut received) = pair().await;
         let (broke, mut broken) = mpsc::unbounded_channel();
         peers.on_unreachable(Rc::new(move |at| {
             let _ = broke.send(at);
         }));
         send(&peers, to, "first");
-        assert_eq!(told.recv().await.unwrap(), "first");
+        assert_eq!(received.recv().await.unwrap(), "first");
         peers.faults().apply(&format!("reset 0\nto {to}"));
         send(&peers, to, "second");
         assert_eq!(broken.recv().await.unwrap(), to, "after the time without an acknowledgement");
         peers.faults().apply("reset 0");
         sleep(QUIET).await;
         send(&peers, to, "third");
-        assert_eq!(told.recv().await.unwrap(), "third", "what was on its way is lost");
+        assert_eq!(received.recv().await.unwrap(), "third", "what was on its way is lost");
         peers.faults().apply("reset 1");
         assert_eq!(broken.recv().await.unwrap(), to);
         send(&peers, to, "fourth");
-        assert_eq!(told.recv().await.unwrap(), "fourth");
+        assert_eq!(received.recv().await.unwrap(), "fourth");
     });
 }
--- a/crates/tier/tests/local.rs
+++ b/crates/tier/tests/local.rs
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, sleep};
 
 /// All of it takes no longer.
-const MOST: Duration = Duration::from_secs(40);
+const TIMEOUT: Duration = Duration::from_secs(40);
 const LOT: &str = include_str!("../../../deploy/local/lot.json");
 
 /// The command, ended with the test whatever way that goes; its processes end with it.
@@ -90,26 +90,26 @@
 ) -> Response {
     let mut last = None;
     for at in at.iter().cycle() {
-        let told = client::call(*at, ask, Duration::from_secs(3)).await;
-        if let Ok(told) = &told
-            && will_do(told)
+        let response = client::call(*at, ask, Duration::from_secs(3)).await;
+        if let Ok(response) = &response
+            && will_do(response)
         {
-            return told.clone();
+            return response.clone();
         }
-        last = Some(told);
+        last = Some(response);
         if Instant::now() >= end {
             break;
         }
         sleep(Duration::from_millis(100)).await;
     }
-    panic!("{what}: not within {MOST:?}, last {last:?}");
+    panic!("{what}: not within {TIMEOUT:?}, last {last:?}");
 }
 
 async fn request(end: Instant, at: &[SocketAddr], id: &str) {
     let fields = [("Host", HOST), ("X-Rainlug-Attempt-Id", id)];
     let ask = Ask { method: "GET", path: "/ask/me", fields: &fields, body: b"" };
-    let told = until("a request", end, at, ask, |told| told.status == 200).await;
-    assert!(told.body.starts_with(b"GET /ask/me: 0 bytes taken; done by worker-"));
+    let response = until("a request", end, at, ask, |response| response.status == 200).await;
+    assert!(response.body.starts_with(b"GET /ask/me: 0 bytes taken; done by worker-"));
 }
 
 fn rainlug(arguments: &[&str]) -> (bool, String) {
@@ -145,10 +145,10 @@
 }
 
 #[tokio::test]
-async fn a_tier_serves_on_while_a_counter_and_a_store_are_killed_and_keeps_its_state() {
+async fn given_a_tier_when_a_leader_and_a_store_are_killed_then_it_serves_and_keeps_its_state() {
     let dir = tempfile::tempdir().unwrap();
     let plan = plan(dir.path());
-    let end = Instant::now() + MOST;
+    let end = Instant::now() + TIMEOUT;
     let mut running = Running::start(&plan);
     assert_eq!(running.processes.len(), 9, "it came up");
     let (fronts, controls) = (plan.front_addresses(), plan.control_addresses());
@@ -171,19 +171,19 @@
         ("X-Rainlug-Prompt-Prefix", "a1:200,b1:100"),
     ];
     let ask = Ask { method: "POST", path: "/chat/1", fields: &chat, body: b"hello" };
-    let whole = until("a stream", end, &fronts, ask, |told| told.status == 200).await;
+    let whole = until("a stream", end, &fronts, ask, |response| response.status == 200).await;
     let text = String::from_utf8(whole.body.to_vec()).unwrap();
     let ids: Vec<u64> = text.lines().filter_map(|l| l.strip_prefix("id: ")?.parse().ok()).collect();
     assert_eq!(ids, (1..=12).collect::<Vec<u64>>());
     // Any worker goes on where another one was.
     let later = [&chat[..], &[("Last-Event-Id", "9")]].concat();
     let ask = Ask { fields: &later, ..ask };
-    let rest = until("a stream that goes on", end, &fronts, ask, |told| told.status == 200).await;
+    let rest = until("a stream that goes on", end, &fronts, ask, |response| response.status == 200).await;
     assert!(text.ends_with(str::from_utf8(&rest.body).unwrap()) && rest.body.starts_with(b"id: 10\n"));
 
     let fields = [("Host", HOST), ("X-Rainlug-Attempt-Id", "lot1"), ("Content-Type", "application/json")];
     let ask = Ask { method: "POST", path: "/batch/lot1", fields: &fields, body: LOT.as_bytes() };
-    until("a batch job", end, &fronts, ask, |told| told.status == 202).await;
+    until("a batch job", end, &fronts, ask, |response| response.status == 202).await;
     let results = job(end, fronts[2]).await;
     assert!(results.len() == 3 && results.iter().all(|line| line.contains("complete")), "{results:?}");
 
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_folder_belongs_to_one_tier_of_one_layout() {
+fn given_a_folder_of_another_tier_when_started_then_it_is_refused() {
     let dir = tempfile::tempdir().unwrap();
     let at = dir.path().display().to_string();
     std::fs::write(dir.path().join("layout"), "--gateways 3 --stores 3 --base-port 7400").unwrap();
--- a/crates/tier/tests/metrics.rs
+++ b/crates/tier/tests/metrics.rs
@@ -19,19 +19,19 @@
 }
 
 #[test]
-fn figures_are_told_as_text_again_and_again() {
+fn given_a_metrics_server_when_asked_again_and_again_then_it_answers_text() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap();
         spawn_local(metrics::serve(listener, Rc::new(|| "requests 7\nclients 2\n".to_owned())));
         for _ in 0..20 {
-            let told = ask(at, &format!("GET {PATH}")).await;
+            let response = ask(at, &format!("GET {PATH}")).await;
             assert!(
-                told.starts_with("HTTP/1.1 200 OK\r\n") && told.contains("Connection: close\r\n"),
-                "{told}"
+                response.starts_with("HTTP/1.1 200 OK\r\n") && response.contains("Connection: close\r\n"),
+                "{response}"
             );
-            assert!(told.ends_with("\r\n\r\nrequests 7\nclients 2\n"), "{told}");
+            assert!(response.ends_with("\r\n\r\nrequests 7\nclients 2\n"), "{response}");
         }
         for line in ["GET /else".to_owned(), format!("POST {PATH}")] {
             assert!(ask(at, &line).await.starts_with("HTTP/1.1 404 "), "{line}");
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_deploy_file_names_where_each_role_tells_its_figures() {
+fn given_the_deploy_file_when_read_then_each_role_has_the_metrics_port_and_path() {
     let deploy: toml::Table = DEPLOY.parse().unwrap();
     let roles = deploy["roles"].as_table().unwrap();
     assert_eq!(roles.len(), 2);
--- a/crates/tier/tests/operator.rs
+++ b/crates/tier/tests/operator.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_wrong_address_and_nobody_there_are_told_in_one_line() {
+fn given_a_wrong_or_free_address_when_asked_then_the_error_is_one_line() {
     assert!(fails(1, &["members", "--at", "nowhere"]).contains("HOST:PORT expected"));
     assert!(fails(1, &["members", "--at", "127.0.0.1:99999"]).contains("HOST:PORT expected"));
     fails(1, &["members"]);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn silence_ends_after_three_seconds() {
+fn given_an_unresponsive_process_when_asked_then_the_call_ends_after_three_seconds() {
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let begun = Instant::now();
     let line = fails(1, &["parts", "--at", &silent.local_addr().unwrap().to_string()]);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn answers_that_are_none_of_a_tier_are_told_in_one_line() {
+fn given_answers_of_another_protocol_when_read_then_the_error_is_one_line() {
     let odd = [
         "SSH-2.0-OpenSSH_9.6\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{x",
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_wrong_file_is_told_before_anybody_is_asked() {
+fn given_a_wrong_file_when_put_or_compared_then_it_is_refused_before_any_call() {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("configuration.json");
     std::fs::write(&file, "{\"version\":0}").unwrap();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_difference_names_what_was_added_removed_and_changed() {
+fn given_two_configurations_when_compared_then_added_removed_and_changed_names_are_listed() {
     let read = |text: &str| Configuration::parse(&Bytes::copy_from_slice(text.as_bytes())).unwrap();
     let changed = CONFIGURATION
         .replace("\"version\": 1", "\"version\": 4")
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn tables_have_columns_as_wide_as_their_widest_cell() {
+fn given_rows_when_formatted_then_columns_are_as_wide_as_their_widest_cell() {
     let rows = [vec!["gateway-1".to_owned(), "a".to_owned()], vec!["x".to_owned(), "bb".to_owned()]];
     assert_eq!(format_table(&["NAME", "B"], &rows), "NAME       B\ngateway-1  a\nx          bb\n");
 }
--- a/crates/tier/tests/peers.rs
+++ b/crates/tier/tests/peers.rs
@@ -39,11 +39,11 @@
 /// Whole frames out of so many bytes of a connection; it is then reset.
 async fn some_of(mut stream: TcpStream, most: usize) -> Vec<u64> {
     let mut buffer = BytesMut::new();
-    let mut taken = 0;
-    while taken < most {
+    let mut handler = 0;
+    while handler < most {
         let read = timeout(Duration::from_millis(300), stream.read_buf(&mut buffer)).await;
         let Ok(Ok(read @ 1..)) = read else { break };
-        taken += read;
+        handler += read;
     }
     stream.set_zero_linger().unwrap();
     let mut frames = buffer.split_off(HELLO);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_frame_is_handed_over_once_at_most_and_only_whole_whoever_listens() {
+fn given_broken_connections_when_frames_are_sent_then_each_arrives_complete_and_at_most_once() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let to = listener.local_addr().unwrap();
@@ -79,46 +79,46 @@
 }
 
 #[test]
-fn frames_are_told_with_the_address_where_their_sender_listens() {
+fn given_frames_when_received_then_they_come_with_the_senders_listening_address() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let to = listener.local_addr().unwrap();
         let me: SocketAddr = "127.0.0.1:9".parse().unwrap();
-        let (tell, mut told) = tokio::sync::mpsc::unbounded_channel();
-        let taken = Rc::new(move |from, bytes: Bytes| {
-            let _ = tell.send((from, number_of(&bytes)));
+        let (channel, mut received) = tokio::sync::mpsc::unbounded_channel();
+        let handler = Rc::new(move |from, bytes: Bytes| {
+            let _ = channel.send((from, number_of(&bytes)));
         });
-        spawn_local(Peers::new(to).listen(listener, taken));
+        spawn_local(Peers::new(to).listen(listener, handler));
         let peers = Peers::new(me);
         for number in 0..4 {
             peers.send(to, frame(number));
         }
         for number in 0..4 {
-            assert_eq!(told.recv().await.unwrap(), (me, number));
+            assert_eq!(received.recv().await.unwrap(), (me, number));
         }
     });
 }
 
 #[test]
-fn the_longest_frame_passes_beside_others() {
+fn given_the_longest_frame_when_sent_beside_others_then_none_is_dropped() {
     const LONGEST: usize = 16 << 20;
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let to = listener.local_addr().unwrap();
         let lengths = Rc::new(std::cell::RefCell::new(Vec::new()));
-        let taken = lengths.clone();
-        let hears = Peers::new(to);
-        spawn_local(hears.listen(
+        let handler = lengths.clone();
+        let receiver = Peers::new(to);
+        spawn_local(receiver.listen(
             listener,
-            Rc::new(move |_: SocketAddr, bytes: Bytes| taken.borrow_mut().push(bytes.len())),
+            Rc::new(move |_: SocketAddr, bytes: Bytes| handler.borrow_mut().push(bytes.len())),
         ));
-        let sends = Peers::new("127.0.0.1:1".parse().unwrap());
+        let sending = Peers::new("127.0.0.1:1".parse().unwrap());
         for length in [100_000, LONGEST - 8, 100_000] {
-            sends.send(to, Frame { head: Bytes::from_static(&[0; 8]), tail: Bytes::from(vec![1; length]) });
+            sending.send(to, Frame { head: Bytes::from_static(&[0; 8]), tail: Bytes::from(vec![1; length]) });
         }
         while lengths.borrow().len() < 3 {
             sleep(Duration::from_millis(5)).await;
-            assert_eq!(sends.dropped_frames(), 0);
+            assert_eq!(sending.dropped_frames(), 0);
         }
         assert_eq!(*lengths.borrow(), [100_008, LONGEST, 100_008]);
     });
