--- a/crates/consensus/src/entry.rs
+++ b/crates/consensus/src/entry.rs
@@ -9,16 +9,16 @@
 
 /// Where an entry stands in a log. The order is that of "up to date" (Raft 3.6.1): by term, then by index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LogPosition {
+pub(crate) struct LogPosition {
     /// The term of the leader that appended the entry.
-    pub term: Term,
+    pub(crate) term: Term,
     /// The entry's index.
-    pub index: Index,
+    pub(crate) index: Index,
 }
 
 /// What an entry's content is. The numbers are those on the wire and on the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EntryKind {
+pub(crate) enum EntryKind {
     /// Nothing: a leader's first entry.
     Noop = 0,
     /// A command for the state machine.
@@ -29,38 +29,38 @@
 
 /// An entry of the log.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub(crate) struct Entry {
     /// The term of the leader that appended it.
-    pub term: Term,
+    pub(crate) term: Term,
     /// What the content is.
-    pub kind: EntryKind,
+    pub(crate) kind: EntryKind,
     /// The content.
-    pub data: Bytes,
+    pub(crate) data: Bytes,
 }
 
 impl Entry {
     /// What it takes in memory, in bytes.
-    pub fn memory_bytes(&self) -> usize {
+    pub(crate) fn memory_bytes(&self) -> usize {
         self.data.len() + ENTRY_OVERHEAD_BYTES
     }
 }
 
 /// The content of an [`EntryKind::ReplicaSet`] entry.
 #[derive(Clone, Debug, Default)]
-pub struct ReplicaSetChange {
+pub(crate) struct ReplicaSetChange {
     /// The members that it replaces; empty where it is none of a change.
-    pub previous: Vec<Member>,
+    pub(crate) previous: Vec<Member>,
     /// The members from this entry on.
-    pub members: Vec<Member>,
+    pub(crate) members: Vec<Member>,
 }
 
 /// A replica set that the log names, or that a snapshot does.
 #[derive(Clone, Debug)]
-pub struct ReplicaSet {
+pub(crate) struct ReplicaSet {
     /// The index of its entry, or of the snapshot.
-    pub index: Index,
+    pub(crate) index: Index,
     /// Whom it replaces; empty where it comes from a snapshot.
-    pub previous: Vec<Member>,
+    pub(crate) previous: Vec<Member>,
     /// Its members.
-    pub members: Vec<Member>,
+    pub(crate) members: Vec<Member>,
 }
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -17,7 +17,7 @@
 
 /// The entries in memory, and the replica sets that they name.
 #[derive(Clone)]
-pub struct Log {
+pub(crate) struct Log {
     /// The entry before the first in memory.
     base: LogPosition,
     /// Bytes of all entries up to there.
@@ -30,18 +30,18 @@
 
 impl Log {
     /// A log without entries after `base`, where the replica set is `members`.
-    pub fn new(base: LogPosition, members: Vec<Member>) -> Self {
+    pub(crate) fn new(base: LogPosition, members: Vec<Member>) -> Self {
         let replica_set = ReplicaSet { index: base.index, previous: vec![], members };
         Self { base, base_bytes: 0, entries: VecDeque::new(), earlier_replica_sets: vec![], replica_set }
     }
 
     /// Bytes that its entries take in memory.
-    pub fn bytes(&self) -> usize {
+    pub(crate) fn bytes(&self) -> usize {
         self.bytes_up_to(self.last_index()) - self.base_bytes
     }
 
     /// Bytes that the entries after this index take in memory.
-    pub fn bytes_after(&self, index: Index) -> usize {
+    pub(crate) fn bytes_after(&self, index: Index) -> usize {
         self.bytes_up_to(self.last_index()) - self.bytes_up_to(index.min(self.last_index()))
     }
 
@@ -56,39 +56,39 @@
     }
 
     /// The index of the entry before the first in memory.
-    pub fn base_index(&self) -> Index {
+    pub(crate) fn base_index(&self) -> Index {
         self.base.index
     }
 
     /// The index of the last entry.
-    pub fn last_index(&self) -> Index {
+    pub(crate) fn last_index(&self) -> Index {
         self.base.index + self.entries.len() as u64
     }
 
     /// Where the log ends.
-    pub fn last(&self) -> LogPosition {
+    pub(crate) fn last(&self) -> LogPosition {
         let term = self.entries.back().map_or(self.base.term, |last| last.entry.term);
         LogPosition { term, index: self.last_index() }
     }
 
     /// The entry at this index; none where it is not in memory.
-    pub fn get(&self, index: Index) -> Option<&Entry> {
+    pub(crate) fn get(&self, index: Index) -> Option<&Entry> {
         self.log_entry(index).map(|entry| &entry.entry)
     }
 
     /// The term of the entry at this index; none where it is not in memory.
-    pub fn term_at(&self, index: Index) -> Option<Term> {
+    pub(crate) fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.base.index { Some(self.base.term) } else { self.get(index).map(|entry| entry.term) }
     }
 
     /// The position of the entry at this index; none where it is not in memory.
-    pub fn position(&self, index: Index) -> Option<LogPosition> {
+    pub(crate) fn position(&self, index: Index) -> Option<LogPosition> {
         self.term_at(index).map(|term| LogPosition { term, index })
     }
 
     /// Where logs may part at the latest: the newest index up to `hint.index` of a term no newer than `hint.term`; the base where no
     /// entry in memory is.
-    pub fn newest_common_index(&self, hint: LogPosition) -> Index {
+    pub(crate) fn newest_common_index(&self, hint: LogPosition) -> Index {
         let mut index = hint.index.min(self.last_index());
         while index > self.base.index && self.term_at(index).is_some_and(|term| term > hint.term) {
             index -= 1;
@@ -97,12 +97,12 @@
     }
 
     /// The newest replica set.
-    pub fn replica_set(&self) -> &ReplicaSet {
+    pub(crate) fn replica_set(&self) -> &ReplicaSet {
         &self.replica_set
     }
 
     /// The replica set as of a committed index.
-    pub fn replica_set_at(&self, index: Index) -> &ReplicaSet {
+    pub(crate) fn replica_set_at(&self, index: Index) -> &ReplicaSet {
         if self.replica_set.index <= index {
             return &self.replica_set;
         }
@@ -110,7 +110,7 @@
     }
 
     /// Appends an entry; `change` is its content where it changes the replica set.
-    pub fn push(&mut self, entry: Entry, change: Option<ReplicaSetChange>) {
+    pub(crate) fn push(&mut self, entry: Entry, change: Option<ReplicaSetChange>) {
         if let Some(ReplicaSetChange { previous, members }) = change {
             let newest = ReplicaSet { index: self.last_index() + 1, previous, members };
             self.earlier_replica_sets.push(std::mem::replace(&mut self.replica_set, newest));
@@ -120,7 +120,7 @@
     }
 
     /// Drops what follows `index`.
-    pub fn truncate(&mut self, index: Index) {
+    pub(crate) fn truncate(&mut self, index: Index) {
         let kept = usize::try_from(index.saturating_sub(self.base.index)).unwrap_or(usize::MAX);
         self.entries.truncate(kept);
         while self.replica_set.index > index
@@ -131,7 +131,7 @@
     }
 
     /// Drops entries up to `index`, which is committed, but for a tail of `tail_bytes`.
-    pub fn compact(&mut self, index: Index, tail_bytes: usize) {
+    pub(crate) fn compact(&mut self, index: Index, tail_bytes: usize) {
         if index <= self.base.index {
             return;
         }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -6,19 +6,19 @@
 use crate::{Index, Member, MemberId, Term};
 
 /// A message as it was received.
-pub struct Message {
+pub(crate) struct Message {
     /// Whom it is for.
-    pub to: MemberId,
+    pub(crate) to: MemberId,
     /// Who sent it.
-    pub from: Member,
+    pub(crate) from: Member,
     /// The sender's term.
-    pub term: Term,
+    pub(crate) term: Term,
     /// What it says.
-    pub body: Body,
+    pub(crate) body: Body,
 }
 
 /// What a message says.
-pub enum Body {
+pub(crate) enum Body {
     /// A candidate asks for a vote.
     RequestVote(VoteRequest),
     /// The answer to [`Body::RequestVote`].
@@ -36,83 +36,83 @@
 }
 
 /// Asks for a vote (Raft 3.4), or for a pre-vote (Raft 9.6): whether one would be granted.
-pub struct VoteRequest {
+pub(crate) struct VoteRequest {
     /// Only asks whether a vote would be granted.
-    pub is_pre_vote: bool,
+    pub(crate) is_pre_vote: bool,
     /// The term to be won.
-    pub for_term: Term,
+    pub(crate) for_term: Term,
     /// Where the candidate's log ends.
-    pub last: LogPosition,
+    pub(crate) last: LogPosition,
 }
 
 /// Answers a [`VoteRequest`].
-pub struct VoteResponse {
+pub(crate) struct VoteResponse {
     /// Answers a pre-vote.
-    pub is_pre_vote: bool,
+    pub(crate) is_pre_vote: bool,
     /// The term that was asked for.
-    pub for_term: Term,
+    pub(crate) for_term: Term,
     /// Whether the vote is given.
-    pub is_granted: bool,
+    pub(crate) is_granted: bool,
     /// The voter's newest replica set entry where it knows that it is committed; index 0 otherwise.
-    pub committed_replica_set: LogPosition,
+    pub(crate) committed_replica_set: LogPosition,
 }
 
 /// Replicates entries (Raft 3.5).
-pub struct AppendEntries {
+pub(crate) struct AppendEntries {
     /// The leader's read round (Raft 6.4).
-    pub read_round: u64,
+    pub(crate) read_round: u64,
     /// The entry before the first one sent.
-    pub prev: LogPosition,
+    pub(crate) prev: LogPosition,
     /// What the leader knows to be committed.
-    pub commit_index: Index,
+    pub(crate) commit_index: Index,
     /// The entries after `prev`, in order.
-    pub entries: Vec<Entry>,
+    pub(crate) entries: Vec<Entry>,
 }
 
 /// The follower's log is as the leader's up to an index.
-pub struct AppendAccepted {
+pub(crate) struct AppendAccepted {
     /// The read round that is answered.
-    pub read_round: u64,
+    pub(crate) read_round: u64,
     /// All up to here is as in the leader's log, and persisted.
-    pub matched_index: Index,
+    pub(crate) matched_index: Index,
     /// The follower knows, on its disk, that its newest replica set is committed.
-    pub is_replica_set_committed: bool,
+    pub(crate) is_replica_set_committed: bool,
 }
 
 /// The entry before those that were sent is not in the follower's log.
-pub struct AppendRejected {
+pub(crate) struct AppendRejected {
     /// The read round that is answered.
-    pub read_round: u64,
+    pub(crate) read_round: u64,
     /// The index of the entry that is missing.
-    pub prev_index: Index,
+    pub(crate) prev_index: Index,
     /// The follower's newest entry that may be common.
-    pub hint: LogPosition,
+    pub(crate) hint: LogPosition,
 }
 
 /// One chunk of a snapshot, and which snapshot it is of (Raft 5.1).
-pub struct SnapshotChunk {
+pub(crate) struct SnapshotChunk {
     /// The leader's read round (Raft 6.4).
-    pub read_round: u64,
+    pub(crate) read_round: u64,
     /// The last entry that the snapshot covers.
-    pub position: LogPosition,
+    pub(crate) position: LogPosition,
     /// The replica set as of that entry.
-    pub members: Vec<Member>,
+    pub(crate) members: Vec<Member>,
     /// Tells the states that one leader sends apart.
-    pub source: u64,
+    pub(crate) source: u64,
     /// How many chunks the snapshot has.
-    pub chunk_count: u32,
+    pub(crate) chunk_count: u32,
     /// Which of them this is, from 0.
-    pub number: u32,
+    pub(crate) number: u32,
     /// The chunk as its record on the disk; none where the state is empty.
-    pub record: Option<Bytes>,
+    pub(crate) record: Option<Bytes>,
 }
 
 /// Asks the leader for a chunk.
-pub struct SnapshotChunkWanted {
+pub(crate) struct SnapshotChunkWanted {
     /// The read round that is answered.
-    pub read_round: u64,
+    pub(crate) read_round: u64,
     /// The state that is being received.
-    pub source: u64,
+    pub(crate) source: u64,
     /// The chunk that comes next.
-    pub number: u32,
+    pub(crate) number: u32,
 }
--- a/crates/consensus/src/quorum.rs
+++ b/crates/consensus/src/quorum.rs
@@ -56,7 +56,7 @@
 }
 
 /// The greatest value that `count` of them have reached; the default one where they are fewer.
-pub fn nth_greatest<T: Ord + Default + Copy>(values: impl Iterator<Item = T>, count: usize) -> T {
+pub(crate) fn nth_greatest<T: Ord + Default + Copy>(values: impl Iterator<Item = T>, count: usize) -> T {
     let mut values: Vec<T> = values.collect();
     values.sort_unstable_by(|a, b| b.cmp(a));
     values.get(count.saturating_sub(1)).copied().unwrap_or_default()
--- a/crates/consensus/src/replica/replication.rs
+++ b/crates/consensus/src/replica/replication.rs
@@ -102,8 +102,8 @@
                     let message = self.encode(&progress.member, &Body::AppendEntries(append));
                     in_flight.push(last_index, message.1.len());
                     messages.push(message);
-                    let told = self.commit_index.min(last_index);
-                    progress.sent_commit_index = progress.sent_commit_index.max(told);
+                    let sent_commit_index = self.commit_index.min(last_index);
+                    progress.sent_commit_index = progress.sent_commit_index.max(sent_commit_index);
                     progress.next_index = last_index + 1;
                 }
                 if progress.next_index > self.log.last_index() {
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -76,18 +76,18 @@
 #[derive(Clone)]
 pub(crate) struct Snapshot {
     /// The last entry that it covers.
-    pub position: LogPosition,
+    pub(crate) position: LogPosition,
     /// The replica set as of that entry.
-    pub members: Vec<Member>,
+    pub(crate) members: Vec<Member>,
     /// Its state, while that is needed in memory: while it is sent.
-    pub source: Option<NumberedSource>,
+    pub(crate) source: Option<NumberedSource>,
 }
 
 /// A state to be sent.
 #[derive(Clone)]
 pub(crate) struct NumberedSource {
     /// Differs for any two states that a replica sends between two restarts: a chunk of one is never taken for another's.
-    pub number: u64,
+    pub(crate) number: u64,
     /// The state.
-    pub state: Arc<dyn SnapshotSource>,
+    pub(crate) state: Arc<dyn SnapshotSource>,
 }
--- a/crates/consensus/src/wire.rs
+++ b/crates/consensus/src/wire.rs
@@ -11,8 +11,8 @@
 use deku::prelude::*;
 
 use self::member::MemberLayout;
-pub use self::message::{Envelope, decode_message, encode_message, encode_snapshot_chunk};
-pub use self::record::{
+pub(crate) use self::message::{Envelope, decode_message, encode_message, encode_snapshot_chunk};
+pub(crate) use self::record::{
     CHUNK_RECORD_HEADER_BYTES, ENTRY_RECORD_HEADER_BYTES, Record, chunk_record, decode_record, entry_record,
     hard_state_record, membership_committed_record, snapshot_record, vote_floor_record,
 };
@@ -34,7 +34,7 @@
 }
 
 /// The content of a replica set entry.
-pub fn encode_replica_set(previous: &[Member], members: &[Member]) -> Bytes {
+pub(crate) fn encode_replica_set(previous: &[Member], members: &[Member]) -> Bytes {
     let layouts = |members: &[Member]| -> Vec<MemberLayout> {
         members.iter().take(usize::from(u16::MAX)).map(MemberLayout::from).collect()
     };
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 /// Where the bytes are none, or more than one.
-pub fn decode_replica_set(bytes: &[u8]) -> Result<ReplicaSetChange, DecodeError> {
+pub(crate) fn decode_replica_set(bytes: &[u8]) -> Result<ReplicaSetChange, DecodeError> {
     let ((rest, _), layout) =
         ReplicaSetLayout::from_bytes((bytes, 0)).map_err(|_| DecodeError::Malformed("a group"))?;
     if !rest.is_empty() {
--- a/crates/consensus/src/wire/message.rs
+++ b/crates/consensus/src/wire/message.rs
@@ -16,13 +16,13 @@
 use crate::{DecodeError, Member, MemberId, Term};
 
 /// From whom to whom a message goes.
-pub struct Envelope<'a> {
+pub(crate) struct Envelope<'a> {
     /// The receiver.
-    pub to: MemberId,
+    pub(crate) to: MemberId,
     /// The sender.
-    pub from: &'a Member,
+    pub(crate) from: &'a Member,
     /// The sender's term.
-    pub term: Term,
+    pub(crate) term: Term,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
@@ -86,7 +86,7 @@
 }
 
 /// The bytes of a message.
-pub fn encode_message(envelope: &Envelope<'_>, body: &Body) -> Bytes {
+pub(crate) fn encode_message(envelope: &Envelope<'_>, body: &Body) -> Bytes {
     let layout = match body {
         Body::RequestVote(request) => BodyLayout::RequestVote {
             is_pre_vote: u8::from(request.is_pre_vote),
@@ -146,7 +146,7 @@
 
 /// The bytes of a message with this chunk of a state. The chunk's record is written straight into the message, so that a chunk is
 /// copied once.
-pub fn encode_snapshot_chunk(envelope: &Envelope<'_>, chunk: &SnapshotChunk, state: &[u8]) -> Bytes {
+pub(crate) fn encode_snapshot_chunk(envelope: &Envelope<'_>, chunk: &SnapshotChunk, state: &[u8]) -> Bytes {
     encode_install_snapshot(envelope, chunk, &[&chunk_record_header(chunk.number), state])
 }
 
@@ -170,7 +170,7 @@
 ///
 /// # Errors
 /// Where the bytes are no message, or one that no replica sends.
-pub fn decode_message(bytes: &Bytes) -> Result<Message, DecodeError> {
+pub(crate) fn decode_message(bytes: &Bytes) -> Result<Message, DecodeError> {
     let ((rest, _), header) =
         MessageHeader::from_bytes((bytes, 0)).map_err(|_| DecodeError::Malformed("a message"))?;
     let from = Member::try_from(header.from)?;
@@ -225,17 +225,14 @@
             let replica_set_len = to_usize(replica_set_len);
             let replica_set =
                 bulk.get(..replica_set_len).ok_or(DecodeError::Malformed("a snapshot's group"))?;
-            let members = decode_replica_set(replica_set)?.members;
-            let record = check_chunk_record(bulk.slice(replica_set_len..), chunk_count, number)?;
-            let position = LogPosition { term, index };
             Body::InstallSnapshot(SnapshotChunk {
                 read_round,
-                position,
-                members,
+                position: LogPosition { term, index },
+                members: decode_replica_set(replica_set)?.members,
                 source,
                 chunk_count,
                 number,
-                record,
+                record: check_chunk_record(bulk.slice(replica_set_len..), chunk_count, number)?,
             })
         }
         BodyLayout::SnapshotChunkWanted { read_round, source, number } => {
--- a/crates/consensus/src/wire/record.rs
+++ b/crates/consensus/src/wire/record.rs
@@ -10,9 +10,9 @@
 use crate::{DecodeError, Index, Member, MemberId, Term};
 
 /// Bytes of a chunk's record before the chunk.
-pub const CHUNK_RECORD_HEADER_BYTES: usize = 1 + 4;
+pub(crate) const CHUNK_RECORD_HEADER_BYTES: usize = 1 + 4;
 /// Bytes of an entry's record before its content.
-pub const ENTRY_RECORD_HEADER_BYTES: usize = 1 + 8 + 8 + 1;
+pub(crate) const ENTRY_RECORD_HEADER_BYTES: usize = 1 + 8 + 8 + 1;
 
 /// Id 3 was that of a snapshot in one record; such a record cannot be read any more.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
@@ -36,7 +36,7 @@
 }
 
 /// A record of a replica on its disk.
-pub enum Record {
+pub(crate) enum Record {
     /// Term and vote (Raft 3.8).
     HardState {
         /// The newest term that the member knows.
@@ -81,7 +81,7 @@
 }
 
 /// The record of term and vote.
-pub fn hard_state_record(term: Term, voted_for: Option<MemberId>) -> Bytes {
+pub(crate) fn hard_state_record(term: Term, voted_for: Option<MemberId>) -> Bytes {
     let header = RecordHeader::HardState {
         term,
         has_voted: u8::from(voted_for.is_some()),
@@ -91,12 +91,12 @@
 }
 
 /// The record of an entry.
-pub fn entry_record(index: Index, entry: &Entry) -> Bytes {
+pub(crate) fn entry_record(index: Index, entry: &Entry) -> Bytes {
     encode(&RecordHeader::Entry { index, term: entry.term, kind: entry.kind as u8 }, &[&entry.data])
 }
 
 /// The record before those of a snapshot's chunks.
-pub fn snapshot_record(position: LogPosition, members: &[Member], chunk_count: usize) -> Bytes {
+pub(crate) fn snapshot_record(position: LogPosition, members: &[Member], chunk_count: usize) -> Bytes {
     let replica_set = encode_replica_set(&[], members);
     let header = RecordHeader::Snapshot {
         index: position.index,
@@ -113,17 +113,17 @@
 }
 
 /// The record of a chunk.
-pub fn chunk_record(number: usize, chunk: &[u8]) -> Bytes {
+pub(crate) fn chunk_record(number: usize, chunk: &[u8]) -> Bytes {
     concatenate(chunk_record_header(to_u32(number)), &[chunk])
 }
 
 /// The record of a replica set entry being committed.
-pub fn membership_committed_record(index: Index) -> Bytes {
+pub(crate) fn membership_committed_record(index: Index) -> Bytes {
     encode(&RecordHeader::MembershipCommitted { index }, &[])
 }
 
 /// The record of the end of a log that was dropped.
-pub fn vote_floor_record(floor: LogPosition) -> Bytes {
+pub(crate) fn vote_floor_record(floor: LogPosition) -> Bytes {
     encode(&RecordHeader::VoteFloor { term: floor.term, index: floor.index }, &[])
 }
 
@@ -131,7 +131,7 @@
 ///
 /// # Errors
 /// Where the bytes are no record, or one that no replica writes.
-pub fn decode_record(bytes: &Bytes) -> Result<Record, DecodeError> {
+pub(crate) fn decode_record(bytes: &Bytes) -> Result<Record, DecodeError> {
     let ((rest, _), header) =
         RecordHeader::from_bytes((bytes, 0)).map_err(|_| DecodeError::Malformed("a record"))?;
     Ok(match header {
--- a/crates/consensus/tests/fencing.rs
+++ b/crates/consensus/tests/fencing.rs
@@ -61,7 +61,7 @@
         Self { cluster, fences, authority, spares: vec![], tolerated_losses, counts: FaultCounts::default() }
     }
 
-    fn up(&self) -> Vec<MemberId> {
+    fn nodes_with_disk(&self) -> Vec<MemberId> {
         self.cluster.nodes.iter().filter(|(_, node)| !node.has_lost_disk).map(|(&id, _)| id).collect()
     }
 
@@ -74,12 +74,13 @@
         (current && replica.is_replica_set_durable()).then(|| (leader, replica.members().to_vec()))
     }
 
-    /// Members of a replica set that are lost, or fenced and so of no use at the next loss.
-    fn missing(&self, replica_set: &[Member]) -> usize {
-        replica_set
-            .iter()
-            .filter(|m| self.cluster.nodes[&m.id].has_lost_disk || self.fences.has(m.id))
-            .count()
+    /// Whether a member is lost, or fenced and so of no use at the next loss.
+    fn is_missing(&self, member: &Member) -> bool {
+        self.cluster.nodes[&member.id].has_lost_disk || self.fences.has(member.id)
+    }
+
+    fn missing(&self, members: &[Member]) -> usize {
+        members.iter().filter(|member| self.is_missing(member)).count()
     }
 
     fn wipe_disk(&mut self, id: MemberId) {
@@ -99,16 +100,10 @@
     /// One more loss, where the replica set tolerates it.
     fn lose_disk(&mut self) {
         let at_once = self.authority == Authority::LossBeforeHandover;
-        let replica_set = match self.durable_replica_set() {
-            Some((_, replica_set)) => replica_set,
-            None => return,
-        };
-        let whole: Vec<MemberId> = replica_set
-            .iter()
-            .map(|member| member.id)
-            .filter(|id| !self.cluster.nodes[id].has_lost_disk && !self.fences.has(*id))
-            .collect();
-        let Some(&one) = whole.choose(&mut self.cluster.rng) else { return };
+        let Some((_, replica_set)) = self.durable_replica_set() else { return };
+        let intact: Vec<MemberId> =
+            replica_set.iter().filter(|member| !self.is_missing(member)).map(|member| member.id).collect();
+        let Some(&one) = intact.choose(&mut self.cluster.rng) else { return };
         if self.missing(&replica_set) >= self.tolerated_losses {
             return;
         }
@@ -122,7 +117,7 @@
             self.wipe_disk(one);
         }
         if at_once {
-            let rest: Vec<MemberId> = whole.into_iter().filter(|id| *id != one).collect();
+            let rest: Vec<MemberId> = intact.into_iter().filter(|id| *id != one).collect();
             if let Some(&two) = rest.choose(&mut self.cluster.rng) {
                 self.wipe_disk(two);
             }
@@ -130,50 +125,50 @@
     }
 
     /// The leader replaces a member that is lost or fenced by a spare; or it swaps, adds or removes one.
-    fn change(&mut self) {
+    fn change_replica_set(&mut self) {
         let Some(leader) = self.cluster.elected_leader() else { return };
-        let (replica_set, is_committed) =
-            (self.cluster.replica(leader).members(), self.cluster.replica(leader).is_replica_set_committed());
-        let mut replica_set = replica_set.to_vec();
-        if !is_committed {
+        let replica = self.cluster.replica(leader);
+        if !replica.is_replica_set_committed() {
             return;
         }
-        let out =
-            replica_set.iter().position(|m| self.cluster.nodes[&m.id].has_lost_disk || self.fences.has(m.id));
-        let least = 2 * self.tolerated_losses;
-        if let Some(out) = out {
-            let spare = self
-                .spares
-                .iter()
-                .position(|m| !self.cluster.nodes[&m.id].has_lost_disk && !self.fences.has(m.id));
-            let Some(spare) = spare else { return };
-            replica_set[out] = self.spares[spare].clone();
-            if self.cluster.change_replica_set(leader, replica_set).is_ok() {
-                self.spares.remove(spare);
-                self.counts.replaced += 1;
-            }
-            return;
+        let members = replica.members().to_vec();
+        match members.iter().position(|member| self.is_missing(member)) {
+            Some(missing) => self.replace_member(leader, members, missing),
+            None => self.change_at_random(leader, members),
         }
-        let position = self.cluster.rng.random_range(0..replica_set.len());
-        if replica_set.len() > least && self.cluster.rng.random() {
-            replica_set.remove(position);
+    }
+
+    fn replace_member(&mut self, leader: MemberId, mut members: Vec<Member>, missing: usize) {
+        let Some(spare) = self.spares.iter().position(|spare| !self.is_missing(spare)) else { return };
+        members[missing] = self.spares[spare].clone();
+        if self.cluster.change_replica_set(leader, members).is_ok() {
+            self.spares.remove(spare);
+            self.counts.replaced += 1;
+        }
+    }
+
+    fn change_at_random(&mut self, leader: MemberId, mut members: Vec<Member>) {
+        let min_members = 2 * self.tolerated_losses;
+        let position = self.cluster.rng.random_range(0..members.len());
+        if members.len() > min_members && self.cluster.rng.random() {
+            members.remove(position);
         } else {
             self.cluster.next_id += 1;
             let id = self.cluster.next_id;
             self.cluster.add(id, vec![]);
-            if replica_set.len() < least + 2 && self.cluster.rng.random() {
-                replica_set.push(member(id));
+            if members.len() < min_members + 2 && self.cluster.rng.random() {
+                members.push(member(id));
             } else {
-                replica_set[position] = member(id);
+                members[position] = member(id);
             }
         }
-        let _ = self.cluster.change_replica_set(leader, replica_set);
+        let _ = self.cluster.change_replica_set(leader, members);
     }
 
     fn step(&mut self) {
         let pause = self.cluster.rng.random_range(MILLIS..60 * MILLIS);
         self.cluster.run_for(pause);
-        let up = self.up();
+        let up = self.nodes_with_disk();
         let Some(&one) = up.choose(&mut self.cluster.rng) else { return };
         let Some(&two) = up.choose(&mut self.cluster.rng) else { return };
         let leader = self.cluster.elected_leader();
@@ -197,7 +192,7 @@
             61..66 => self.cluster.blocked_links.clear(),
             66..72 => self.lose_disk(),
             72..86 => self.fences.notify(&mut self.cluster, one, false),
-            _ => self.change(),
+            _ => self.change_replica_set(),
         }
         if self.authority == Authority::ConflictingOrders && one != two {
             self.cluster.fence(one, &[two]);
@@ -210,13 +205,13 @@
         self.cluster.network = Network { loss: 0.0, duplication: 0.0, delay: 0.0 };
         self.cluster.blocked_links.clear();
         for _ in 0..300 {
-            for id in self.up() {
+            for id in self.nodes_with_disk() {
                 self.cluster.start(id);
                 self.fences.notify(&mut self.cluster, id, true);
             }
             self.cluster.run_for(100 * MILLIS);
-            let whole = self.durable_replica_set().filter(|(_, replica_set)| self.missing(replica_set) == 0);
-            if let Some((_, replica_set)) = whole {
+            let intact = self.durable_replica_set().filter(|(_, replica_set)| self.missing(replica_set) == 0);
+            if let Some((_, replica_set)) = intact {
                 return self.caught_up(&replica_set);
             }
             self.replace_missing();
@@ -230,7 +225,7 @@
             if self.spares.iter().all(|spare| self.fences.has(spare.id)) {
                 self.add_spare();
             }
-            self.change();
+            self.change_replica_set();
         }
     }
 
--- a/crates/consensus/tests/format.rs
+++ b/crates/consensus/tests/format.rs
@@ -1,5 +1,5 @@
 //! The bytes of a replica set, pinned: messages between replicas, and records on their disks, each as replicas of a fixed seed make
-//! them; and that replicas read committed ones.
+//! them; and that replicas read pinned ones.
 
 mod common;
 #[path = "../../../tests/common/fixture.rs"]
@@ -17,12 +17,12 @@
 const JOINING_MEMBER: MemberId = 4;
 /// Of each kind, so many different messages or records are pinned.
 const MAX_PER_KIND: usize = 6;
-/// How long a story goes on after each of its events.
+/// How long a scenario goes on after each of its events.
 const EVENT_INTERVAL: Time = SECOND;
 
 const MESSAGE_KINDS: [&str; 7] =
     ["RequestVote", "Vote", "AppendEntries", "Appended", "Rejected", "InstallSnapshot", "SnapshotWanted"];
-/// By code less one; there is none of the code 3.
+/// By id less one; no kind has the id 3.
 const RECORD_KINDS: [&str; 7] = ["HardState", "Entry", "", "Settled", "Snapshot", "Piece", "VoteFloor"];
 
 fn message_line(bytes: &Bytes) -> (String, Bytes) {
@@ -41,7 +41,7 @@
     }
 }
 
-/// A leader that is cut off has entries that nobody else gets; then it is back, and its log is made like the others'.
+/// An isolated leader has entries that nobody else gets; then it is back, and its log is truncated to that of the others.
 fn replace_leader(cluster: &mut Cluster) {
     let old = cluster.wait_for_leader();
     cluster.isolate(old);
@@ -63,16 +63,16 @@
     cluster.run_for(EVENT_INTERVAL);
 }
 
-/// A fourth member is taken in, and one of the first goes.
+/// A fourth member joins, and one of the first leaves.
 fn change_replica_set_members(cluster: &mut Cluster) {
     let leader = cluster.wait_for_leader();
     cluster.recording = Some(JOINING_MEMBER);
     cluster.add(JOINING_MEMBER, vec![]);
-    cluster.change_replica_set(leader, members(&[1, 2, 3, 4])).expect("it joins");
+    cluster.change_replica_set(leader, members(&[1, 2, 3, 4])).expect("no change is in progress");
     cluster.run_for(EVENT_INTERVAL);
     let gone = FOUNDING.into_iter().find(|id| *id != leader).expect("a follower");
     let rest: Vec<MemberId> = [1, 2, 3, 4].into_iter().filter(|id| *id != gone).collect();
-    cluster.change_replica_set(leader, members(&rest)).expect("it goes");
+    cluster.change_replica_set(leader, members(&rest)).expect("no change is in progress");
     cluster.run_for(EVENT_INTERVAL);
     propose(cluster, 3);
 }
