--- a/crates/coordinator/src/dissemination.rs
+++ b/crates/coordinator/src/dissemination.rs
@@ -167,13 +167,13 @@
     /// What may have become possible with any event: a changed membership, answers whose update has spread, items to run, tokens
     /// to report.
     pub(crate) fn run_deferred_work(&mut self) {
-        if self.view.version() != self.seen {
-            self.seen = self.view.version();
+        if self.peers.view.version() != self.peers.view_version {
+            self.peers.view_version = self.peers.view.version();
             self.update_membership();
         }
         self.send_acknowledgements();
         self.run_items();
-        self.report_tokens();
+        self.send_usage_reports();
         self.finish_reservations();
     }
 
@@ -195,7 +195,7 @@
                     acknowledged == 0 && peers > 0 && matches!(pending.update, AwaitedUpdate::Worker(_));
                 let must_retry = is_unacknowledged || !is_in_core;
                 let answer =
-                    if must_retry { Answer::later(503, RETRY_LAST_CALL_AFTER) } else { pending.answer };
+                    if must_retry { Answer::retry_after(503, RETRY_LAST_CALL_AFTER) } else { pending.answer };
                 self.reply(pending.origin, answer);
             } else {
                 self.pending_acknowledgements.push(pending);
--- a/crates/coordinator/tests/spoken.rs
+++ b/crates/coordinator/tests/spoken.rs
@@ -29,16 +29,27 @@
     "Relay",
 ];
 
-/// The name before the fields.
+/// The name before the fields, by the fixture's own labels where the code's name is a later one: the bytes are compared as they are.
 fn name(of: &impl std::fmt::Debug) -> String {
     let text = format!("{of:?}");
-    text.split([' ', '{']).next().unwrap_or_default().to_owned()
+    let name = text.split([' ', '{']).next().unwrap_or_default();
+    let label = match name {
+        "Consensus" => "Group",
+        "Call" => "Ask",
+        "NotLeader" => "Elsewhere",
+        "RetirementStatus" => "Retiring",
+        "RegisterStore" => "Shelve",
+        "ReportReplicaSet" => "Seated",
+        "ReportUsage" => "Settle",
+        name => name,
+    };
+    label.to_owned()
 }
 
 fn frame_line(bytes: &Bytes) -> (String, Bytes) {
     let (head, tail): (Head, Bytes) = split(bytes).expect("a frame");
     let kind = match head {
-        Head::Ask { .. } | Head::Relay { .. } => {
+        Head::Call { .. } | Head::Relay { .. } => {
             let (request, _): (Request, Bytes) = split(&tail).expect("a request");
             format!("{} {}", name(&head), name(&request))
         }
@@ -64,7 +75,7 @@
     }
     fleet.heal();
     fleet.ask(1, Call::Retire { store: "storage-9".to_owned() }, 2.0);
-    fleet.ask(1, Call::Retiring { store: "storage-4".to_owned() }, 2.0);
+    fleet.ask(1, Call::RetirementStatus { store: "storage-4".to_owned() }, 2.0);
     fleet.pass(1.0);
     fleet.trace.take().expect("it was kept")
 }
--- a/crates/coordinator/tests/stored.rs
+++ b/crates/coordinator/tests/stored.rs
@@ -102,7 +102,7 @@
     accept(fleet, Call::Retire { store: store.clone() });
     let is_gone = |fleet: &mut Fleet| {
         fleet.pass(0.2);
-        let answer = fleet.ask(0, Call::Retiring { store: store.clone() }, 2.0);
+        let answer = fleet.ask(0, Call::RetirementStatus { store: store.clone() }, 2.0);
         answer.is_some_and(|answer| answer.body == "{\"state\":\"complete\"}")
     };
     assert!((0..100).any(|_| is_gone(fleet)), "it may go");
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -13,7 +13,7 @@
 use rainlug::Time;
 use rainlug_batch::{ItemRun, RunOutcome};
 use rainlug_coordinator::{
-    Answer, Call, Coordinator, Effect, KEEP_SLACK, NodeInfo, Now, ProcessRole, founding_id,
+    Answer, Call, Coordinator, Effect, NodeInfo, Now, ProcessRole, RETENTION_SLACK, founding_id,
 };
 use rainlug_fleet::envelope::{Envelope, MOST};
 use rainlug_gateway::{Gateway, Item, RanEnd, Reply, Replying};
@@ -29,9 +29,9 @@
 
 use crate::clock::Clock;
 use crate::control;
-use crate::disk::{Disk, PartLog, Told};
+use crate::disk::{Disk, ShardLog, WriterReport};
 use crate::log;
-use crate::peers::Peers;
+use crate::peers::{Frame, Peers};
 
 use crate::settings::{self, Settings};
 use crate::step_times::StepTimes;
@@ -92,8 +92,8 @@
     dir: &Path,
     capacity: u64,
     drawn: u64,
-    told: mpsc::UnboundedSender<Told>,
-) -> Result<(Disk, Vec<PartLog>), Error> {
+    told: mpsc::UnboundedSender<WriterReport>,
+) -> Result<(Disk, Vec<ShardLog>), Error> {
     let mut is_failing = false;
     loop {
         match Disk::open(dir, capacity, drawn, told.clone()) {
@@ -115,7 +115,7 @@
     /// Where settings, sockets or disk cannot be used.
     pub async fn run(role: ProcessRole, settings: Settings, mechanisms: Mechanisms) -> Result<(), Error> {
         let clock = Clock::start();
-        let (saved, mut on_disk) = mpsc::unbounded_channel::<Told>();
+        let (saved, mut on_disk) = mpsc::unbounded_channel::<WriterReport>();
         let peer = settings.peer_address();
         let seeds = settings.seed_peer_addresses();
         let founds = settings.first_boot && role == ProcessRole::Gateway && seeds.contains(&peer);
@@ -145,7 +145,7 @@
             link_bytes_per_second: settings.limits.link_bytes_per_second(),
             sync_time: settings.bounds.sync_time(),
             relays_enabled: mechanisms.contains(Mechanisms::RELAYS),
-            job_retention: (settings.bounds.status_s * 1e6) as Time + KEEP_SLACK,
+            job_retention: (settings.bounds.status_s * 1e6) as Time + RETENTION_SLACK,
             seed: draw(),
         };
         let socket = UdpSocket::bind(peer).await.map_err(|e| Error::Listen(peer, e))?;
@@ -182,17 +182,17 @@
         let taken = node.clone();
         let frame = Rc::new(move |from, bytes: Bytes| {
             taken.with("frame", |coordinator, now| {
-                let _ = coordinator.frame(now, from, &bytes);
+                let _ = coordinator.receive_frame(now, from, &bytes);
             });
         });
         let tells = Rc::downgrade(&node);
-        node.peers.when_broke(Rc::new(move |at| {
+        node.peers.on_unreachable(Rc::new(move |at| {
             if let Some(node) = tells.upgrade() {
-                node.with("unreachable", |coordinator, now| coordinator.unreachable(now, at));
+                node.with("unreachable", |coordinator, now| coordinator.peer_unreachable(now, at));
             }
         }));
         if let Some(file) = settings.fault_file {
-            spawn_local(node.peers.faults.clone().watch(file));
+            spawn_local(node.peers.faults().clone().watch(file));
         }
         spawn_local(node.peers.clone().listen(frames, frame));
         spawn_local(node.clone().datagrams());
@@ -204,7 +204,7 @@
             while let Some(told) = on_disk.recv().await {
                 let is_current = keeps.disk.borrow().as_ref().is_some_and(|disk| disk.id() == told.disk);
                 if is_current {
-                    keeps.disk_told(told.shard, told.report);
+                    keeps.disk_told(told.shard, told.event);
                 }
             }
         });
@@ -265,14 +265,14 @@
             return;
         }
         loop {
-            let effects = self.coordinator.borrow_mut().take();
+            let effects = self.coordinator.borrow_mut().take_effects();
             if effects.is_empty() {
                 break;
             }
             effects.into_iter().for_each(|effect| self.carry_out(effect));
         }
         self.pumping.set(false);
-        if self.coordinator.borrow().next() < self.rings.get() {
+        if self.coordinator.borrow().next_timeout() < self.rings.get() {
             self.sooner.notify_one();
         }
     }
@@ -280,14 +280,14 @@
     fn carry_out(self: &Rc<Self>, effect: Effect) {
         match effect {
             // What the socket does not take now is lost, as any datagram may be.
-            Effect::Datagram { to, .. } if !self.peers.faults.may_send(to) => {}
+            Effect::Datagram { to, .. } if !self.peers.faults().may_send(to) => {}
             Effect::Datagram { to, bytes } => {
                 let _ = self.socket.try_send_to(&self.envelope.seal(&bytes), to);
             }
-            Effect::Frame { to, head, tail } => self.peers.send(to, head, tail),
-            Effect::Save { shard, ticket, records } => {
+            Effect::Frame { to, head, tail } => self.peers.send(to, Frame { head, tail }),
+            Effect::Append { shard, ticket, records } => {
                 if let Some(disk) = self.disk.borrow_mut().as_mut() {
-                    disk.save(shard, ticket, records);
+                    disk.append(shard, ticket, records);
                 }
             }
             Effect::Rewrite { shard, ticket, records, implied } => {
@@ -295,8 +295,8 @@
                     disk.compact(shard, ticket, records, implied);
                 }
             }
-            Effect::Renew { disk } => {
-                if let Some(Err(error)) = self.disk.borrow_mut().as_mut().map(|d| d.renew(disk)) {
+            Effect::ReplaceDiskIdentity { disk } => {
+                if let Some(Err(error)) = self.disk.borrow_mut().as_mut().map(|d| d.renew_identity(disk)) {
                     log::error("disk", &error.to_string());
                 }
             }
@@ -314,9 +314,9 @@
                 }
             }
             Effect::Worker(worker) => self.gateway.worker(&worker),
-            Effect::Others(count) => self.gateway.others(count),
+            Effect::PeerCount(count) => self.gateway.others(count),
             Effect::Reports(reports) => self.gateway.reported(&reports),
-            Effect::Run { shard, next } => {
+            Effect::RunItem { shard, next } => {
                 spawn_local(self.clone().item(shard, next));
             }
             Effect::Log(what, text) => log::event(what, &text),
@@ -332,7 +332,7 @@
                     log::event("disk", &format!("part {shard}: {compaction:?}, {length} bytes, {took} ms"));
                 }
                 self.with("saved", |coordinator, now| {
-                    coordinator.saved(now, shard, done.ticket, done.length)
+                    coordinator.persisted(now, shard, done.ticket, done.length)
                 });
             }
             WriterEvent::Failing(error) => log::error("disk", &format!("part {shard} waits: {error}")),
@@ -347,7 +347,7 @@
         let (waits, answered) = oneshot::channel();
         self.answers.borrow_mut().insert(ticket, waits);
         self.with("call", |coordinator, now| coordinator.call(now, ticket, call));
-        answered.await.unwrap_or_else(|_| Answer::of(503))
+        answered.await.unwrap_or_else(|_| Answer::with_status(503))
     }
 
     async fn item(self: Rc<Self>, shard: u16, next: ItemRun) {
@@ -381,7 +381,7 @@
                 (ran.events, end)
             }
         };
-        self.with("ran", |coordinator, now| coordinator.ran(now, shard, &job, &id, events, end));
+        self.with("ran", |coordinator, now| coordinator.item_finished(now, shard, &job, &id, events, end));
     }
 
     async fn datagrams(self: Rc<Self>) {
@@ -392,11 +392,13 @@
             }
             for _ in 0..BURST {
                 let Ok((length, from)) = self.socket.try_recv_from(&mut buffer) else { break };
-                if !self.peers.faults.may_receive(from) {
+                if !self.peers.faults().may_receive(from) {
                     continue;
                 }
                 if let Ok(payload) = self.envelope.open(&buffer[..length]) {
-                    self.with("datagram", |coordinator, now| coordinator.datagram(now, from, payload));
+                    self.with("datagram", |coordinator, now| {
+                        coordinator.receive_datagram(now, from, payload)
+                    });
                 }
             }
             tokio::task::yield_now().await;
@@ -414,14 +416,14 @@
 
     async fn timer(self: Rc<Self>) {
         loop {
-            let next = self.coordinator.borrow().next();
+            let next = self.coordinator.borrow().next_timeout();
             self.rings.set(next);
             tokio::select! {
                 biased;
                 () = self.sooner.notified() => continue,
                 () = sleep_until(self.clock.instant(next)) => {}
             }
-            self.with("timer", |coordinator, now| coordinator.due(now));
+            self.with("timer", |coordinator, now| coordinator.handle_timeout(now));
             // Where the next time is now already, sockets come first.
             tokio::task::yield_now().await;
         }
@@ -431,11 +433,8 @@
     pub fn metrics(&self) -> String {
         let mut all = self.coordinator.borrow().metrics();
         all.extend(self.gateway.metrics());
-        let peers = &self.peers;
         all.extend(self.steps.metrics());
-        all.push(("peer_bytes_sent".to_owned(), peers.sent.get() as f64));
-        all.push(("peer_bytes_taken".to_owned(), peers.taken.get() as f64));
-        all.push(("peer_frames_dropped".to_owned(), peers.dropped.get() as f64));
+        all.extend(self.peers.metrics());
         all.iter().map(|(name, value)| format!("{name} {value}\n")).collect()
     }
 }
@@ -443,9 +442,9 @@
 fn reply(answer: Answer) -> Reply {
     Reply {
         status: answer.status,
-        retry_after: answer.retry.map(|r| r as f64 / 1e6),
+        retry_after: answer.retry_after.map(|r| r as f64 / 1e6),
         body: answer.body,
-        json: answer.json,
+        json: answer.is_json,
     }
 }
 
