--- a/crates/registry/src/gossip.rs
+++ b/crates/registry/src/gossip.rs
@@ -58,7 +58,7 @@
 /// How many of the live peers are known to have an update, by their acknowledgements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Coverage {
-    /// Peers that have said that they have it, or something newer.
+    /// Peers that have acknowledged it, or something newer.
     pub acknowledged: usize,
     /// All live peers.
     pub peers: usize,
@@ -160,14 +160,14 @@
         self.workers.values().filter(|entry| !entry.is_delisted).map(|entry| &entry.worker)
     }
 
-    /// How many peers have said that they have this version of a document or a newer one.
+    /// How many peers have acknowledged this version of a document or a newer one.
     pub fn document_coverage(&self, kind: u8, version: u64) -> Coverage {
         let has = |peer: &&SocketAddr| self.peer_versions.get(&(kind, **peer)).is_some_and(|v| *v >= version);
         Coverage { acknowledged: self.peers.iter().filter(has).count(), peers: self.peers.len() }
     }
 
-    /// How many peers have said that they have the last update of a worker that was published here; known for a minute. No peer
-    /// counts for an update that was not published here.
+    /// How many peers have acknowledged the last update of a worker that was published here; known for a minute. No peer counts
+    /// for an update that was not published here.
     pub fn worker_coverage(&self, id: &str) -> Coverage {
         let peers = self.peers.len();
         let acknowledged = match self.pending.get(&Subject::worker(id)) {
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -3,7 +3,7 @@
 //! - [`Configuration`]: an operator's document, parsed, validated, and looked up by host and path.
 //! - [`Worker`]: a worker as it registers itself by heartbeats.
 //! - [`Gossip`]: the replicated view of workers and of versioned documents.
-//! - [`WorkerReport`]: what processes tell one another of workers' load and failures.
+//! - [`WorkerReport`]: what processes report to one another of workers' load and failures.
 //!
 //! There is no I/O here: times and seeds are arguments, and what is to be sent is handed to the caller. Given the same calls, the
 //! results are the same.
--- a/crates/registry/src/worker.rs
+++ b/crates/registry/src/worker.rs
@@ -8,7 +8,7 @@
 /// The most bytes that an id, or the name of a service or zone, may have.
 pub const MAX_NAME_BYTES: usize = 256;
 
-/// Where a worker is in its life. It only ever advances, but for [`Unresponsive`](Phase::Unresponsive), from which its next
+/// The phase of a worker's lifecycle. It only ever advances, but for [`Unresponsive`](Phase::Unresponsive), from which its next
 /// heartbeat returns it to [`Ready`](Phase::Ready). The numbers are on the wire, and later phases compare as greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
@@ -36,7 +36,7 @@
     pub zone: String,
     /// Requests that it runs at once; 0 where it did not say.
     pub slots: u32,
-    /// Where it is in its life.
+    /// The phase of its lifecycle.
     pub phase: Phase,
     /// How much longer it stays slow after its start (slow start), in milliseconds from its heartbeat.
     pub warm_up_left_ms: u32,
--- a/crates/wal/src/compaction.rs
+++ b/crates/wal/src/compaction.rs
@@ -17,7 +17,7 @@
 }
 
 /// Whether a log of `length` bytes should be rewritten to `rewritten` bytes: if that halves it; or, if more than half of the disk
-/// is in use, so that there may soon be no room for a second file, if it [is worthwhile](is_worthwhile).
+/// is in use, so that there may soon be no space for a second file, if it [is worthwhile](is_worthwhile).
 pub fn should_compact(length: u64, rewritten: u64, is_disk_half_full: bool) -> bool {
     length.saturating_sub(rewritten) >= rewritten || is_disk_half_full && is_worthwhile(length, rewritten)
 }
--- a/crates/wal/src/error.rs
+++ b/crates/wal/src/error.rs
@@ -9,7 +9,7 @@
     /// Why a log cannot be used.
     #[derive(Debug)]
     pub enum Error {
-        /// The operating system refused a call on this file or directory, or the disk has no room.
+        /// The operating system refused a call on this file or directory, or there is no space for a rewrite.
         Io(path: PathBuf, source: io::Error) {
             source(source)
             display("{}: {}", path.display(), source)
--- a/crates/wal/src/file_system.rs
+++ b/crates/wal/src/file_system.rs
@@ -11,7 +11,7 @@
 /// A file system on one disk.
 ///
 /// # Errors
-/// Each method returns what the operating system says; a log then counts nothing as done.
+/// Each method returns the error of the operating system; a log then counts nothing as done.
 pub trait FileSystem: Send + 'static {
     /// An open file.
     type File: Send;
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -35,7 +35,7 @@
 //!
 //! # Full, slow and refusing disks
 //!
-//! [`DiskSpace`] accounts for the bytes of all logs of a disk. A rewrite needs room for the new file beside the old one and must
+//! [`DiskSpace`] accounts for the bytes of all logs of a disk. A rewrite needs space for the new file beside the old one and must
 //! leave a reserve for appends; where it does not fit, the compaction is postponed and only the records that the log lacks are
 //! appended. A [`Writer`] retries what the disk refuses until it succeeds, and reports the failure once. Its callers never wait
 //! for the disk; what they have queued is held in memory without a bound.
--- a/crates/wal/tests/faults/disk.rs
+++ b/crates/wal/tests/faults/disk.rs
@@ -119,7 +119,7 @@
         self.state().used()
     }
 
-    /// The opening of a log begins or ends; [`Fault::NoSyncOnOpen`] holds in between.
+    /// The opening of a log begins or ends; [`Fault::NoSyncOnOpen`] applies in between.
     pub fn set_opening(&self, is_opening: bool) {
         self.state().is_opening = is_opening;
     }
--- a/crates/wal/tests/faults/power_loss.rs
+++ b/crates/wal/tests/faults/power_loss.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// Carries a step out; what the log holds after it.
+/// Executes a step; what the log contains after it.
 fn execute(wal: &mut Wal<TestDisk>, before: &Records, step: &Step) -> Result<Records, Error> {
     match step {
         Step::Append(batch) => wal.append(batch).map(|()| [&before[..], batch].concat()),
--- a/crates/wal/tests/faults/refusals.rs
+++ b/crates/wal/tests/faults/refusals.rs
@@ -47,19 +47,19 @@
 }
 
 fn expect_synced(events: &mpsc::Receiver<WriterEvent>) -> Synced {
-    match events.recv().expect("the thread lives") {
+    match events.recv().expect("the thread runs") {
         WriterEvent::Synced(synced) => synced,
         other => panic!("{other:?}"),
     }
 }
 
 fn expect_failing(events: &mpsc::Receiver<WriterEvent>) {
-    let event = events.recv().expect("the thread lives");
+    let event = events.recv().expect("the thread runs");
     assert!(matches!(event, WriterEvent::Failing(_)), "{event:?}");
 }
 
 fn expect_recovered(events: &mpsc::Receiver<WriterEvent>) {
-    let event = events.recv().expect("the thread lives");
+    let event = events.recv().expect("the thread runs");
     assert!(matches!(event, WriterEvent::Recovered), "{event:?}");
 }
 
--- a/crates/wal/tests/faults/sources.rs
+++ b/crates/wal/tests/faults/sources.rs
@@ -20,7 +20,7 @@
 #[derive(Clone)]
 struct GeneratedRecords {
     made: Arc<AtomicUsize>,
-    /// What it says of its size.
+    /// The size that it claims.
     size: u64,
 }
 
@@ -69,10 +69,10 @@
     let writer = Writer::start(wal, move |event| sender.send(event).expect("the test listens"));
     let source = GeneratedRecords::new(EXACT);
     writer.compact(1, source.clone(), 0);
-    assert!(matches!(events.recv().expect("it lives"), WriterEvent::Failing(_)));
+    assert!(matches!(events.recv().expect("the thread runs"), WriterEvent::Failing(_)));
     disk.set_capacity(None);
     let synced = loop {
-        match events.recv().expect("it lives") {
+        match events.recv().expect("the thread runs") {
             WriterEvent::Synced(synced) => break synced,
             WriterEvent::Recovered => {}
             WriterEvent::Failing(error) => panic!("reported twice: {error}"),
--- a/crates/wal/tests/format.rs
+++ b/crates/wal/tests/format.rs
@@ -21,8 +21,8 @@
     fs::read(dir.join("wal")).expect("its file").into()
 }
 
-/// A file after each step of its life: two batches, one of them with an empty record; then a rewrite; then one more batch.
-fn life_of_a_file() -> fixture::Lines {
+/// A file after each of these steps: two batches, one of them with an empty record; then a rewrite; then one more batch.
+fn file_after_each_step() -> fixture::Lines {
     let dir = tempfile::tempdir().unwrap();
     let (mut wal, _) = open(dir.path());
     let mut files = fixture::Lines::new();
@@ -46,7 +46,7 @@
 
 #[test]
 fn given_the_same_appends_and_rewrites_then_files_are_the_committed_ones() {
-    fixture::pin("files", &life_of_a_file());
+    fixture::pin("files", &file_after_each_step());
 }
 
 #[test]
--- a/crates/wal/tests/records.rs
+++ b/crates/wal/tests/records.rs
@@ -235,7 +235,7 @@
     });
     writer.append(1, texts(&["a"]));
     assert_eq!(events.recv().unwrap().ticket, 1);
-    // The thread is held up now.
+    // The thread is blocked now.
     writer.append(2, texts(&["b"]));
     writer.append(3, texts(&["c", "d"]));
     writer.compact(4, texts(&["abcd"]), 0);
