--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -376,7 +376,7 @@
     pub fn persisted(&mut self, now: Now, number: u16, ticket: u64, length: u64) {
         self.now = now;
         if let Some(shard) = self.shards.get_mut(&number) {
-            shard.disk.saved(ticket, length);
+            shard.disk.write_finished(ticket, length);
             shard.replica.persisted(now.steady, ticket);
             self.process_output(number);
         }
--- a/crates/coordinator/src/diagnostics.rs
+++ b/crates/coordinator/src/diagnostics.rs
@@ -1,4 +1,4 @@
-//! What staff need to see of each part to tell why nobody leads it: elections, terms, and members that lag.
+//! Log events by which an operator can tell why a shard has no leader: elections, terms, and members that lag.
 
 use std::collections::BTreeMap;
 
@@ -7,19 +7,20 @@
 
 use crate::{Coordinator, Effect};
 
-/// Between two reports on members that lag.
-const LAG_REPORT: Time = 5 * SECOND;
-/// Entries that a member may lack before it is reported.
-const LAG_WORTH_TELLING: u64 = 256;
+/// Between two log events on members that lag, in microseconds.
+const LAG_REPORT_INTERVAL: Time = 5 * SECOND;
+/// Entries that a member may lack without being reported.
+const MAX_UNREPORTED_LAG: u64 = 256;
 
-/// What was last reported.
+/// What was last logged.
 #[derive(Default)]
 pub(crate) struct Diagnostics {
     elections: BTreeMap<u16, Election>,
-    lag_reported: Time,
+    /// When lag was last logged, by the steady clock in microseconds.
+    lag_reported_at: Time,
 }
 
-/// The state of a part's election as seen here.
+/// The state of a shard's election as seen here.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Election {
     term: Term,
@@ -28,11 +29,11 @@
 }
 
 impl Coordinator {
-    /// Reports what has changed since the last call.
+    /// Logs what has changed since the last call.
     pub(crate) fn diagnose(&mut self) {
         self.report_elections();
-        if self.now.steady - self.diagnostics.lag_reported >= LAG_REPORT {
-            self.diagnostics.lag_reported = self.now.steady;
+        if self.now.steady - self.diagnostics.lag_reported_at >= LAG_REPORT_INTERVAL {
+            self.diagnostics.lag_reported_at = self.now.steady;
             self.report_lag();
         }
     }
@@ -51,7 +52,7 @@
             let leader =
                 leader.map_or("nobody".to_owned(), |member| format!("{}@{}", member.name, member.address));
             let uncommitted = shard.replica.uncommitted_entries();
-            let text = format!("part {number}, term {}: {leader}, {uncommitted} uncommitted", election.term);
+            let text = format!("shard {number}, term {}: {leader}, {uncommitted} uncommitted", election.term);
             self.effects.push(Effect::Log("election", text));
         }
     }
@@ -61,11 +62,11 @@
             let behind = shard.replica.replication_lag();
             let lagging: Vec<String> = behind
                 .iter()
-                .filter(|lag| lag.entries > LAG_WORTH_TELLING)
+                .filter(|lag| lag.entries > MAX_UNREPORTED_LAG)
                 .map(|lag| format!("{:x} lacks {}", lag.member, lag.entries))
                 .collect();
             if !lagging.is_empty() {
-                let text = format!("part {number}: {}", lagging.join(", "));
+                let text = format!("shard {number}: {}", lagging.join(", "));
                 self.effects.push(Effect::Log("lag", text));
             }
         }
--- a/crates/coordinator/src/invariants.rs
+++ b/crates/coordinator/src/invariants.rs
@@ -1,28 +1,31 @@
-//! What must hold at every process, checked while it runs. A violation is counted, logged and told as a figure; the tests of the
-//! in-memory fleet end at the first one.
+//! Invariants that every process checks while it runs.
+//!
+//! A violation is counted, logged and published as a metric; service goes on. The tests' in-memory fleet ends at the first one.
 
 use std::fmt;
 
 use rainlug_consensus::{MAX_APPLY_BYTES, Ready, RestoreStep};
 
+use crate::admission::StateMemory;
 use crate::{Coordinator, Effect};
 
-/// What must hold.
+/// Something that must always hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// A state that was sent or read from the disk is one of this state machine: what a replica counts as applied is in it.
+    /// A snapshot that was received or read from the disk can be restored: what a replica counts as applied is in the state.
     StateRestored,
-    /// A committed command is one that the state machine reads.
+    /// The state machine can decode every committed command.
     CommandRead,
-    /// One step hands the state machine a bounded number of bytes, however large the state is.
+    /// One step passes the state machine a bounded number of bytes, however large the state is.
     StepBounded,
-    /// The state of all parts here, or the files that a restart reads, leave the process the memory that it needs besides.
+    /// The state of all shards here, or the files that a restart reads, leave the process the memory that it needs besides.
     FitsMemory,
-    /// Who begins to lead a part has all of its state: no other state is being built beside it.
+    /// A replica that begins to lead a shard has all of its state: no snapshot is being restored.
     LeaderWhole,
 }
 
 impl Invariant {
+    /// All invariants, in the order of the metrics.
     pub const ALL: [Invariant; 5] = [
         Invariant::StateRestored,
         Invariant::CommandRead,
@@ -31,7 +34,7 @@
         Invariant::LeaderWhole,
     ];
 
-    /// Its name in logs and figures.
+    /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::StateRestored => "state_restored",
@@ -43,7 +46,7 @@
     }
 }
 
-/// Violations since the process began.
+/// How often each invariant was violated since the process began.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ViolationCounts([u64; Invariant::ALL.len()]);
 
@@ -59,7 +62,7 @@
         Invariant::ALL.into_iter().zip(self.0)
     }
 
-    /// Of all invariants together.
+    /// Violations of all invariants together.
     pub fn total(&self) -> u64 {
         self.0.iter().sum()
     }
@@ -79,7 +82,7 @@
         self.effects.push(Effect::Log("invariant", format!("{} violated: {details}", invariant.name())));
     }
 
-    /// What a replica has handed the state machine in one step is bounded, but for a single long command or piece.
+    /// What a replica has passed to the state machine in one step is bounded, except for a single long command or chunk.
     pub(crate) fn check_step(&mut self, output: &Ready) {
         let chunks = output.restore.iter().map(|step| match step {
             RestoreStep::Chunk(chunk) => chunk.len(),
@@ -95,10 +98,11 @@
         self.check(Invariant::StepBounded, holds, || format!("{bytes} bytes at once"));
     }
 
-    /// What this store keeps leaves the process the memory that it needs besides.
+    /// The state leaves the process the memory that it needs besides.
     pub(crate) fn check_memory(&mut self) {
-        let (kept, limit) = self.state_memory();
-        self.check(Invariant::FitsMemory, kept <= limit, || format!("{kept} bytes of {limit}"));
+        let StateMemory { used_bytes, max_bytes } = self.state_memory();
+        let holds = used_bytes <= max_bytes;
+        self.check(Invariant::FitsMemory, holds, || format!("{used_bytes} bytes of {max_bytes}"));
     }
 
     /// Violations of invariants at this process since it began.
@@ -106,7 +110,7 @@
         &self.violations
     }
 
-    /// Figures as (name, value).
+    /// Metrics as (name, value).
     pub(crate) fn invariant_metrics(&self) -> Vec<(String, f64)> {
         let figure = |(invariant, count): (Invariant, u64)| {
             (format!("invariant_violations_{}", invariant.name()), count as f64)
--- a/crates/coordinator/src/listing.rs
+++ b/crates/coordinator/src/listing.rs
@@ -1,13 +1,11 @@
-//! What an operator may want to see of this process's view: members, workers, stores, parts. It is what this process knows now;
-//! nothing is asked of others.
+//! Listings for operators: members, workers, stores and shards as this process knows them now. Nothing is asked of other processes.
 
 use std::net::SocketAddr;
 
-use rainlug_consensus::Member;
 use rainlug_fleet::Standing;
 use rainlug_registry::{Phase, Worker};
 
-use crate::frame::MemberRecord;
+use crate::topology::StoreRecord;
 use crate::{BATCH_SHARDS, CONTROL, Coordinator};
 
 /// A process of the tier.
@@ -15,15 +13,15 @@
 pub struct MemberListing {
     pub name: String,
     pub zone: String,
-    /// `gateway` or `store`; empty where it does not say.
+    /// `gateway` or `store`; empty where its membership card does not say.
     pub role: &'static str,
     /// `alive`, `suspect`, `gone` or `left`.
     pub standing: &'static str,
-    /// Where it hears its peers.
-    pub peer: SocketAddr,
+    /// Where peers reach it.
+    pub peer_address: SocketAddr,
     /// Where it serves workers and operators, if it does.
-    pub control: Option<SocketAddr>,
-    /// How long it has stood so, in milliseconds.
+    pub control_address: Option<SocketAddr>,
+    /// How long it has had this standing, in milliseconds.
     pub for_ms: u64,
 }
 
@@ -40,33 +38,45 @@
     pub call_seq: u64,
 }
 
-/// A store on the roster.
+/// A store in the topology.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreListing {
     pub name: String,
     pub zone: String,
-    pub peer: SocketAddr,
+    /// Where peers reach it.
+    pub peer_address: SocketAddr,
     /// By membership, as for members; `unknown` where it was never met.
     pub standing: &'static str,
-    pub retiring: bool,
-    /// The parts that it has a seat in.
+    /// Whether it was ordered to give up its replicas.
+    pub is_retiring: bool,
+    /// The batch-job shards that it holds a replica of, by number.
     pub shards: Vec<u16>,
 }
 
-/// A part and its group.
+/// A shard and its replica set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardListing {
+    /// Its number; 0 holds the configuration.
     pub number: u16,
-    /// `configuration` or `lots`.
-    pub holds: &'static str,
-    /// Its leader's name, or address; none where this process does not know.
+    /// What it holds: `configuration` or `lots`.
+    pub content: &'static str,
+    /// Its leader's name, or address where the name is not known; none where this process knows no leader.
     pub leader: Option<String>,
+    /// Names of its members, or addresses where a name is not known.
     pub members: Vec<String>,
+    /// The term of its leader.
     pub term: u64,
 }
 
-fn standing(of: Standing) -> &'static str {
-    match of {
+/// What this process knows of a shard; processes by their peer addresses.
+struct ShardView {
+    leader: Option<SocketAddr>,
+    members: Vec<SocketAddr>,
+    term: u64,
+}
+
+fn standing_name(standing: Standing) -> &'static str {
+    match standing {
         Standing::Alive => "alive",
         Standing::Suspect => "suspect",
         Standing::Gone => "gone",
@@ -74,8 +84,8 @@
     }
 }
 
-fn phase(of: Phase) -> &'static str {
-    match of {
+fn phase_name(phase: Phase) -> &'static str {
+    match phase {
         Phase::Ready => "ready",
         Phase::Unresponsive => "silent",
         Phase::Draining => "draining",
@@ -88,7 +98,7 @@
     pub fn list_members(&self) -> Vec<MemberListing> {
         let mut lines = Vec::new();
         for member in self.peers.view.members() {
-            for (card, stands, since) in member.processes {
+            for (card, standing, since) in member.processes {
                 let (role, port) = match card.figures[..] {
                     [role, high, low, ..] => {
                         (if role == 1 { "gateway" } else { "store" }, u16::from_be_bytes([high, low]))
@@ -99,9 +109,9 @@
                     name: card.name.clone(),
                     zone: card.zone.clone(),
                     role,
-                    standing: standing(stands),
-                    peer: card.at,
-                    control: (port != 0).then(|| SocketAddr::new(card.at.ip(), port)),
+                    standing: standing_name(standing),
+                    peer_address: card.at,
+                    control_address: (port != 0).then(|| SocketAddr::new(card.at.ip(), port)),
                     for_ms: u64::try_from((self.now.steady - since).max(0) / 1000).unwrap_or(0),
                 });
             }
@@ -116,77 +126,76 @@
             service: worker.service.clone(),
             zone: worker.zone.clone(),
             address: worker.address,
-            phase: phase(worker.phase),
+            phase: phase_name(worker.phase),
             slots: worker.slots,
             call_seq: worker.call_seq,
         };
         self.gossip.workers().map(line).collect()
     }
 
-    /// The roster of stores, by name.
+    /// The stores in the topology, by name.
     pub fn list_stores(&self) -> Vec<StoreListing> {
         let members = self.list_members();
-        let stands = |at: SocketAddr| members.iter().filter(|m| m.peer == at).map(|m| m.standing).min();
-        let mut lines: Vec<StoreListing> = Vec::new();
-        for (member, retiring) in self.shelved() {
-            let holds = |seats: &[MemberRecord]| seats.iter().any(|s| s.id == member.id);
-            let shards =
-                self.topology.replica_sets.iter().filter(|g| holds(&g.members)).map(|g| g.shard).collect();
-            let standing = stands(member.address).unwrap_or("unknown");
-            lines.push(StoreListing {
+        let standing_at = |address: SocketAddr| {
+            members.iter().filter(|member| member.peer_address == address).map(|member| member.standing).min()
+        };
+        let line = |store: &StoreRecord| {
+            let member = store.member.to_member().ok()?;
+            let sets = self.topology.replica_sets.iter().filter(|set| set.has_member(member.id));
+            Some(StoreListing {
+                standing: standing_at(member.address).unwrap_or("unknown"),
+                shards: sets.map(|set| set.shard).collect(),
                 name: member.name,
                 zone: member.zone,
-                peer: member.address,
-                standing,
-                retiring,
-                shards,
-            });
-        }
+                peer_address: member.address,
+                is_retiring: store.is_retiring(),
+            })
+        };
+        let mut lines: Vec<StoreListing> = self.topology.stores.iter().filter_map(line).collect();
         lines.sort_by(|a, b| a.name.cmp(&b.name));
         lines
     }
 
-    fn shelved(&self) -> impl Iterator<Item = (Member, bool)> {
-        self.topology.stores.iter().filter_map(|s| Some((s.member.to_member().ok()?, s.is_retiring())))
-    }
-
-    /// All parts, as far as this process knows: of a part that it has no replica in, by the roster and by where calls went last.
+    /// All shards as far as this process knows them: those that it holds no replica of, by the topology and by where calls went
+    /// last.
     pub fn list_shards(&self) -> Vec<ShardListing> {
         let members = self.list_members();
-        let named = |at: SocketAddr| {
-            let member = members.iter().find(|m| m.peer == at);
-            member.map_or_else(|| at.to_string(), |m| m.name.clone())
+        let name_at = |address: SocketAddr| {
+            let member = members.iter().find(|member| member.peer_address == address);
+            member.map_or_else(|| address.to_string(), |member| member.name.clone())
         };
         let line = |number: u16| {
-            let (leader, seats, term) = match self.shards.get(&number) {
-                Some(shard) => {
-                    let seats: Vec<SocketAddr> = shard.replica.members().iter().map(|m| m.address).collect();
-                    (shard.replica.leader().map(|m| m.address), seats, shard.replica.term())
-                }
-                None => {
-                    let listed = self.topology.replica_sets.iter().find(|g| g.shard == number);
-                    let seats = if number == CONTROL {
-                        Some(&self.topology.configuration_members)
-                    } else {
-                        listed.map(|g| &g.members)
-                    };
-                    let seats = seats
-                        .into_iter()
-                        .flatten()
-                        .filter_map(|s| s.to_member().ok())
-                        .map(|m| m.address)
-                        .collect();
-                    (self.calls.leader_hint(number), seats, listed.map_or(0, |g| g.term))
-                }
-            };
+            let view = self.view_of_shard(number);
             ShardListing {
                 number,
-                holds: if number == CONTROL { "configuration" } else { "lots" },
-                leader: leader.map(named),
-                members: seats.into_iter().map(named).collect(),
-                term,
+                content: if number == CONTROL { "configuration" } else { "lots" },
+                leader: view.leader.map(name_at),
+                members: view.members.into_iter().map(name_at).collect(),
+                term: view.term,
             }
         };
         (CONTROL..=BATCH_SHARDS).map(line).collect()
     }
+
+    fn view_of_shard(&self, number: u16) -> ShardView {
+        if let Some(shard) = self.shards.get(&number) {
+            return ShardView {
+                leader: shard.replica.leader().map(|member| member.address),
+                members: shard.replica.members().iter().map(|member| member.address).collect(),
+                term: shard.replica.term(),
+            };
+        }
+        let set = self.topology.replica_set(number);
+        let records = if number == CONTROL {
+            Some(&self.topology.configuration_members)
+        } else {
+            set.map(|set| &set.members)
+        };
+        let members = records.into_iter().flatten().filter_map(|record| record.to_member().ok());
+        ShardView {
+            leader: self.calls.leader_hint(number),
+            members: members.map(|member| member.address).collect(),
+            term: set.map_or(0, |set| set.term),
+        }
+    }
 }
--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -63,7 +63,7 @@
         let gateways = live.values().filter(|peer| peer.is_gateway).count();
         let gateways_before = self.peers.live.values().filter(|peer| peer.is_gateway).count();
         self.peers.live = live;
-        self.reports.members(&self.info.zone, self.info.peer_address, zones);
+        self.reports.set_members(&self.info.zone, self.info.peer_address, zones);
         self.peers.registrars.borrow_mut().clear();
         let peers: Vec<SocketAddr> = self.peers.live.keys().copied().collect();
         self.gossip.set_peers(now, &peers);
--- a/crates/coordinator/src/reports.rs
+++ b/crates/coordinator/src/reports.rs
@@ -1,6 +1,8 @@
-//! What all processes see of workers, told to all. Each process sends what it saw to its zone's relay; relays tell one another, and
-//! each tells all of it to the processes of its zone. A relay is found by rendezvous hash among those that live, so that it needs no
-//! ballot: two that take each other's place for a while, or none, cost nothing but news. Datagrams may be lost, and are not repeated.
+//! Exchange of worker reports: every process learns what all data planes see of workers.
+//!
+//! Each process sends what it saw to its zone's relay; relays exchange that with one another, and each sends all of it to the
+//! processes of its zone. The relay is the highest by rendezvous hash among live processes, so it needs no election: two relays for
+//! a while, or none, only delay reports. Datagrams may be lost and are not repeated.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,25 +16,35 @@
 
 use crate::{Coordinator, Effect, Now};
 
-/// What a relay sends to one process of its zone, at most, over time.
-const BYTES_PER_SECOND: Time = 3_000;
-/// What is collected for longer than this, because nobody relays it, is dropped.
-const STALE: Time = 2 * SECOND;
+/// What a relay sends to one process of its zone, at most, on average.
+const MAX_BYTES_PER_SECOND: Time = 3_000;
+/// Reports that were collected longer ago, because nobody relays them, are dropped, in microseconds.
+const MAX_REPORT_AGE: Time = 2 * SECOND;
 
-/// A report, and when it came.
-type Collected = BTreeMap<u32, (WorkerReport, Time)>;
+/// A report that waits to be relayed.
+struct CollectedReport {
+    report: WorkerReport,
+    /// When it came, by the steady clock in microseconds.
+    received_at: Time,
+}
+
+/// Reports by the worker's hash.
+type Collected = BTreeMap<u32, CollectedReport>;
 
-/// A process's part in the exchange.
+/// A process's state in the exchange.
 #[derive(Default)]
 pub(crate) struct ReportExchange {
     /// The relay of this process's zone, where that is another one.
     relay: Option<SocketAddr>,
-    /// The other processes of this zone, and the relays of the other zones.
+    /// The other live processes of this zone.
     zone_members: Vec<SocketAddr>,
+    /// The relays of the other zones.
     other_relays: Vec<SocketAddr>,
-    /// As a relay: what this zone's processes saw, and what other zones' did.
+    /// As a relay: what this zone's processes saw.
     from_zone: Collected,
+    /// As a relay: what other zones' processes saw.
     from_others: Collected,
+    /// When a relay sends next, by the steady clock in microseconds.
     next_round: Time,
 }
 
@@ -43,28 +55,33 @@
 
 fn collect(into: &mut Collected, now: Time, reports: impl IntoIterator<Item = WorkerReport>) {
     for report in reports {
-        let merged = into.get(&report.worker).map_or(report, |(known, at)| {
-            let mut known = aged(known, *at, now);
+        let merged = into.get(&report.worker).map_or(report, |known| {
+            let mut known = known.aged(now);
             known.merge(&report);
             known
         });
-        into.insert(report.worker, (merged, now));
+        into.insert(report.worker, CollectedReport { report: merged, received_at: now });
     }
 }
 
-fn aged(report: &WorkerReport, since: Time, now: Time) -> WorkerReport {
-    report.aged(u16::try_from((now - since) / 1_000).unwrap_or(u16::MAX))
+impl CollectedReport {
+    /// The report as it is now: older by the time since it came.
+    fn aged(&self, now: Time) -> WorkerReport {
+        let age_ms = (now - self.received_at) / 1_000;
+        self.report.aged(u16::try_from(age_ms).unwrap_or(u16::MAX))
+    }
 }
 
 /// Takes what was collected, as it is now.
 fn drain(from: &mut Collected, now: Time) -> Vec<WorkerReport> {
-    let fresh = std::mem::take(from).into_values().filter(|(_, at)| now - *at <= STALE);
-    fresh.map(|(report, at)| aged(&report, at, now)).collect()
+    let collected = std::mem::take(from).into_values();
+    let fresh = collected.filter(|collected| now - collected.received_at <= MAX_REPORT_AGE);
+    fresh.map(|collected| collected.aged(now)).collect()
 }
 
 impl ReportExchange {
-    /// Who lives, by zone, but for this process.
-    pub fn members(&mut self, zone: &str, me: SocketAddr, mut zones: BTreeMap<String, Vec<SocketAddr>>) {
+    /// Takes over the live processes by zone, without this one.
+    pub fn set_members(&mut self, zone: &str, me: SocketAddr, mut zones: BTreeMap<String, Vec<SocketAddr>>) {
         self.zone_members = zones.remove(zone).unwrap_or_default();
         let own = self.zone_members.iter().copied().chain([me]);
         self.relay = relay_of(own).filter(|at| *at != me);
@@ -73,11 +90,12 @@
 }
 
 impl Coordinator {
-    /// What this process's data plane saw of workers since the last call; to be called several times a second.
+    /// Takes what this process's data plane saw of workers since the last call; to be called several times a second.
     pub fn report(&mut self, now: Now, seen: Vec<WorkerReport>) {
         self.now = now;
         if let Some(relay) = self.reports.relay {
-            return self.send_reports(Scope::Process, &seen, &[relay]);
+            self.send_reports(Scope::Process, &seen, &[relay]);
+            return;
         }
         let now = now.steady;
         collect(&mut self.reports.from_zone, now, seen);
@@ -91,15 +109,15 @@
         collect(&mut self.reports.from_others, now, from_zone);
         let all = drain(&mut self.reports.from_others, now);
         let members = std::mem::take(&mut self.reports.zone_members);
-        let bytes = self.send_reports_counted(Scope::Tier, &all, &members);
+        let bytes = self.send_reports(Scope::Tier, &all, &members);
         self.reports.zone_members = members;
-        self.reports.next_round = now + bytes * SECOND / BYTES_PER_SECOND;
+        self.reports.next_round = now + bytes * SECOND / MAX_BYTES_PER_SECOND;
         if !all.is_empty() {
             self.effects.push(Effect::Reports(all));
         }
     }
 
-    /// A datagram of another process's reports.
+    /// Takes a datagram of another process's reports.
     pub(crate) fn receive_reports(&mut self, payload: &[u8]) {
         let Some((scope, reports)) = decode_reports(payload) else { return };
         let now = self.now.steady;
@@ -110,12 +128,8 @@
         }
     }
 
-    fn send_reports(&mut self, scope: Scope, reports: &[WorkerReport], to: &[SocketAddr]) {
-        self.send_reports_counted(scope, reports, to);
-    }
-
-    /// Sends reports to each of these; the bytes that each of them gets.
-    fn send_reports_counted(&mut self, scope: Scope, reports: &[WorkerReport], to: &[SocketAddr]) -> Time {
+    /// Sends reports to each of these; the number of bytes that each of them gets.
+    fn send_reports(&mut self, scope: Scope, reports: &[WorkerReport], to: &[SocketAddr]) -> Time {
         let payloads: Vec<Bytes> =
             encode_reports(scope, reports, MOST).into_iter().map(Bytes::from).collect();
         for at in to {
--- a/crates/coordinator/src/shard.rs
+++ b/crates/coordinator/src/shard.rs
@@ -97,7 +97,7 @@
             next_item_at: 0,
             last_sweep: now,
             lost_membership_since: None,
-            disk: ShardDisk::of(records),
+            disk: ShardDisk::with_records(records),
             is_snapshot_wanted: false,
             submissions: BTreeMap::new(),
         })
@@ -262,7 +262,7 @@
         if output.needs_compaction
             && let Some(shard) = self.shards.get_mut(&number)
         {
-            if output.needs_snapshot || shard.log_use().pays() {
+            if output.needs_snapshot || shard.log_use().is_rewrite_worthwhile() {
                 shard.is_snapshot_wanted = true;
             } else {
                 shard.replica.postpone_compaction();
@@ -276,7 +276,7 @@
     fn record_write(&mut self, number: u16, ticket: u64) {
         let now = self.now.steady;
         if let Some(shard) = self.shards.get_mut(&number) {
-            shard.disk.saving(now, ticket);
+            shard.disk.write_started(now, ticket);
         }
     }
 
--- a/crates/coordinator/tests/capacity.rs
+++ b/crates/coordinator/tests/capacity.rs
@@ -144,7 +144,7 @@
     assert!(disk.may_ask_rewrite(20 * SECOND));
     assert!(!disk.may_ask_rewrite(25 * SECOND - 1));
     assert!(disk.may_ask_rewrite(25 * SECOND));
-    disk.saving(40 * SECOND, 1);
+    disk.write_started(40 * SECOND, 1);
     assert!(!disk.may_ask_rewrite(45 * SECOND));
 }
 
@@ -214,7 +214,7 @@
     assert_eq!(bounds.recovery_limit(), REFILL);
     let held = usage(&[log(0, REFILL / 2, 0), log(0, REFILL / 2 - 1000, 0)]);
     assert_eq!(bounds.admit(&held, 1000), Ok(()));
-    assert_eq!(bounds.admit(&held, 1001), Err(RejectionReason::Refill));
+    assert_eq!(bounds.admit(&held, 1001), Err(RejectionReason::RecoveryTime));
     assert!(bounds.recovery_time(&held) <= bounds.sync_time);
     assert!(bounds.recovery_time(&usage(&[log(0, REFILL + 10, 0)])) > bounds.sync_time);
 }
@@ -224,20 +224,20 @@
     let bounds = slow_link(2);
     let led = usage(&[log(0, REFILL / 2 - 1000, 0)]);
     assert_eq!(bounds.admit(&led, 1000), Ok(()));
-    assert_eq!(bounds.admit(&led, 1001), Err(RejectionReason::Refill));
+    assert_eq!(bounds.admit(&led, 1001), Err(RejectionReason::RecoveryTime));
     // What another store leads is sent from there, and counts once.
     let mut both = usage(&[log(0, REFILL / 4, 0), log(0, REFILL / 2, 0)]);
     both.shards[1].is_led = false;
     assert_eq!(bounds.admit(&both, REFILL / 4), Ok(()));
-    assert_eq!(bounds.admit(&both, REFILL / 4 + 1000), Err(RejectionReason::Refill));
+    assert_eq!(bounds.admit(&both, REFILL / 4 + 1000), Err(RejectionReason::RecoveryTime));
 }
 
 #[test]
 fn refusals_are_counted_by_their_reason() {
     let mut refusals = RejectionCounts::default();
     refusals.count(RejectionReason::Disk);
-    refusals.count(RejectionReason::Refill);
-    refusals.count(RejectionReason::Refill);
+    refusals.count(RejectionReason::RecoveryTime);
+    refusals.count(RejectionReason::RecoveryTime);
     let counts: Vec<u64> = refusals.counts().map(|(_, count)| count).collect();
     assert_eq!(counts, [0, 0, 0, 1, 2]);
     assert!(refusals.counts().map(|(refusal, _)| refusal).eq(RejectionReason::ALL));
@@ -271,14 +271,14 @@
 fn a_disk_is_stalled_once_something_waits_too_long() {
     let mut disk = ShardDisk::default();
     assert!(!disk.is_stalled(100 * SECOND));
-    disk.saving(0, 1);
-    disk.saving(DISK_STALL_TIMEOUT, 2);
+    disk.write_started(0, 1);
+    disk.write_started(DISK_STALL_TIMEOUT, 2);
     assert!(!disk.is_stalled(DISK_STALL_TIMEOUT));
     assert!(disk.is_stalled(DISK_STALL_TIMEOUT + 1));
-    disk.saved(1, 500);
+    disk.write_finished(1, 500);
     assert!(!disk.is_stalled(DISK_STALL_TIMEOUT + 1));
     assert!(disk.is_stalled(2 * DISK_STALL_TIMEOUT + 1));
-    disk.saved(2, 900);
+    disk.write_finished(2, 900);
     assert!(!disk.is_stalled(100 * SECOND));
     assert_eq!(disk.length, 900);
 }
--- a/crates/coordinator/tests/stored.rs
+++ b/crates/coordinator/tests/stored.rs
@@ -232,7 +232,7 @@
 /// Name, whether it retires, and parts of each store.
 fn stores_with_parts(coordinator: &Coordinator) -> Vec<(String, bool, Vec<u16>)> {
     let stores = coordinator.list_stores().into_iter();
-    stores.map(|store| (store.name, store.retiring, store.shards)).collect()
+    stores.map(|store| (store.name, store.is_retiring, store.shards)).collect()
 }
 
 fn expected_stores() -> Vec<(String, bool, Vec<u16>)> {
--- a/crates/tier/src/listings.rs
+++ b/crates/tier/src/listings.rs
@@ -104,8 +104,8 @@
             zone: m.zone,
             role: m.role.to_owned(),
             standing: m.standing.to_owned(),
-            peer: text(m.peer),
-            control: m.control.map(text),
+            peer: text(m.peer_address),
+            control: m.control_address.map(text),
             for_ms: m.for_ms,
         };
         Members { members: coordinator.list_members().into_iter().map(member).collect() }
@@ -168,9 +168,9 @@
         let store = |s: rainlug_coordinator::listing::StoreListing| Store {
             name: s.name,
             zone: s.zone,
-            peer: text(s.peer),
+            peer: text(s.peer_address),
             standing: s.standing.to_owned(),
-            retiring: s.retiring,
+            retiring: s.is_retiring,
             parts: s.shards,
         };
         Stores { stores: coordinator.list_stores().into_iter().map(store).collect() }
@@ -196,7 +196,7 @@
     fn of(coordinator: &Coordinator) -> Self {
         let part = |p: rainlug_coordinator::listing::ShardListing| Part {
             number: p.number,
-            holds: p.holds.to_owned(),
+            holds: p.content.to_owned(),
             leader: p.leader,
             members: p.members,
             term: p.term,
