--- a/crates/coordinator/tests/spoken.rs
+++ b/crates/coordinator/tests/spoken.rs
@@ -18,14 +18,14 @@
 /// What has to be among the frames.
 const KINDS: [&str; 10] = [
     "Gossip",
-    "Group",
+    "Consensus",
     "Answer",
-    "Ask Configure",
-    "Elsewhere",
-    "Ask Submit",
-    "Ask Read",
-    "Ask Reserve",
-    "Ask Settle",
+    "Call Configure",
+    "NotLeader",
+    "Call Submit",
+    "Call Read",
+    "Call Reserve",
+    "Call ReportUsage",
     "Relay",
 ];
 
