--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -19,6 +19,7 @@
 use crate::frame::{DecodeError, Head, Request, split};
 use crate::membership::{COMPARING_PERIOD, LivePeer};
 use crate::quota::ReservationAnswer;
+use crate::replica_placement::JoinCandidate;
 use crate::replica_settings::replica_settings;
 use crate::shard::Shard;
 use crate::topology::{self, Topology};
@@ -98,7 +99,7 @@
     /// When (steady clock) each worker whose heartbeats are due here was last heard.
     pub(crate) heartbeats: BTreeMap<String, Time>,
     /// Disks of gateways that want to be members of the configuration's shard, and when each asked last.
-    pub(crate) join_candidates: BTreeMap<MemberId, (Member, Time)>,
+    pub(crate) join_candidates: BTreeMap<MemberId, JoinCandidate>,
     pub(crate) admission: admission::Admission,
     pub(crate) reports: reports::ReportExchange,
     pub(crate) diagnostics: diagnostics::Diagnostics,
--- a/crates/coordinator/src/serving.rs
+++ b/crates/coordinator/src/serving.rs
@@ -10,6 +10,7 @@
 
 use crate::control::{Change, Store};
 use crate::frame::{Head, Request, Text, join};
+use crate::replica_placement::JoinCandidate;
 use crate::shard::ReadQuery;
 use crate::{Answer, CONTROL, Coordinator, Effect};
 
@@ -71,7 +72,8 @@
             }
             (CONTROL, Request::Join { member }) => {
                 if let Ok(member) = member.to_member() {
-                    self.join_candidates.insert(member.id, (member, self.now.steady));
+                    self.join_candidates
+                        .insert(member.id, JoinCandidate { member, asked_at: self.now.steady });
                 }
                 self.reply(origin, Answer::with_status(200));
             }
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -29,9 +29,10 @@
 
 use crate::clock::Clock;
 use crate::control;
-use crate::disk::{Disk, PartLog, Told};
+use crate::disk::{Disk, ShardLog, WriterReport};
 use crate::log;
-use crate::peers::Peers;
+use crate::peers::{Frame, Peers};
+
 use crate::settings::{self, Settings};
 use crate::step_times::StepTimes;
 
@@ -58,14 +59,8 @@
     }
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
-    Gateway,
-    Store,
-}
-
 pub struct Node {
-    role: Role,
+    role: ProcessRole,
     clock: Clock,
     coordinator: RefCell<Coordinator>,
     socket: UdpSocket,
@@ -97,8 +92,8 @@
     dir: &Path,
     capacity: u64,
     drawn: u64,
-    told: mpsc::UnboundedSender<Told>,
-) -> Result<(Disk, Vec<PartLog>), Error> {
+    told: mpsc::UnboundedSender<WriterReport>,
+) -> Result<(Disk, Vec<ShardLog>), Error> {
     let mut is_failing = false;
     loop {
         match Disk::open(dir, capacity, drawn, told.clone()) {
@@ -118,12 +113,12 @@
     ///
     /// # Errors
     /// Where settings, sockets or disk cannot be used.
-    pub async fn run(role: Role, settings: Settings, mechanisms: Mechanisms) -> Result<(), Error> {
+    pub async fn run(role: ProcessRole, settings: Settings, mechanisms: Mechanisms) -> Result<(), Error> {
         let clock = Clock::start();
-        let (saved, mut on_disk) = mpsc::unbounded_channel::<Told>();
-        let peer = settings.peer();
-        let seeds = settings.seed_peers();
-        let founds = settings.first_boot && role == Role::Gateway && seeds.contains(&peer);
+        let (saved, mut on_disk) = mpsc::unbounded_channel::<WriterReport>();
+        let peer = settings.peer_address();
+        let seeds = settings.seed_peer_addresses();
+        let founds = settings.first_boot && role == ProcessRole::Gateway && seeds.contains(&peer);
         let drawn = if founds { founding_id(peer) } else { draw().max(1) };
         let disk_bytes = (settings.limits.disk_mb.max(1.0) * 1e6) as u64;
         let (disk, logs) = match &settings.data_dir {
@@ -139,12 +134,12 @@
             zone: settings.zone.clone(),
             peer_address: peer,
             control_address: control_at,
-            role: if role == Role::Gateway { ProcessRole::Gateway } else { ProcessRole::Store },
+            role,
             disk: disk.as_ref().map(Disk::id),
             first_boot: settings.first_boot,
             seeds,
             tolerated_failures: settings.tolerate.machines as usize,
-            heartbeat_interval: settings.beat_ms as Time * 1000,
+            heartbeat_interval: settings.heartbeat_ms as Time * 1000,
             disk_bytes: disk_bytes as usize,
             memory_bytes: (settings.limits.memory_mb * 1e6) as usize,
             link_bytes_per_second: settings.limits.link_bytes_per_second(),
@@ -191,13 +186,13 @@
             });
         });
         let tells = Rc::downgrade(&node);
-        node.peers.when_broke(Rc::new(move |at| {
+        node.peers.on_unreachable(Rc::new(move |at| {
             if let Some(node) = tells.upgrade() {
                 node.with("unreachable", |coordinator, now| coordinator.peer_unreachable(now, at));
             }
         }));
         if let Some(file) = settings.fault_file {
-            spawn_local(node.peers.faults.clone().watch(file));
+            spawn_local(node.peers.faults().clone().watch(file));
         }
         spawn_local(node.peers.clone().listen(frames, frame));
         spawn_local(node.clone().datagrams());
@@ -209,7 +204,7 @@
             while let Some(told) = on_disk.recv().await {
                 let is_current = keeps.disk.borrow().as_ref().is_some_and(|disk| disk.id() == told.disk);
                 if is_current {
-                    keeps.disk_told(told.shard, told.report);
+                    keeps.disk_told(told.shard, told.event);
                 }
             }
         });
@@ -217,7 +212,7 @@
             spawn_local(control::serve(node.clone(), listen(at).await?));
         }
         spawn_local(crate::metrics::start(node.clone(), settings.ip));
-        if role == Role::Gateway {
+        if role == ProcessRole::Gateway {
             let front = settings.listen.front.ok_or(Error::Missing("listen.front"))?;
             spawn_local(node.gateway.clone().serve(listen(front).await?, Rc::new(Desk(node.clone()))));
         }
@@ -245,7 +240,7 @@
             }
         }
         log::event("stop", "told to end");
-        if self.role == Role::Gateway {
+        if self.role == ProcessRole::Gateway {
             // Bounded by itself: it ends before the grace does.
             self.gateway.stop().await;
         }
@@ -261,7 +256,7 @@
         let begun = Instant::now();
         let result = what(&mut self.coordinator.borrow_mut(), self.clock.now());
         self.pump();
-        self.steps.ended(step, begun.elapsed());
+        self.steps.record(step, begun.elapsed());
         result
     }
 
@@ -285,14 +280,14 @@
     fn carry_out(self: &Rc<Self>, effect: Effect) {
         match effect {
             // What the socket does not take now is lost, as any datagram may be.
-            Effect::Datagram { to, .. } if !self.peers.faults.may_send(to) => {}
+            Effect::Datagram { to, .. } if !self.peers.faults().may_send(to) => {}
             Effect::Datagram { to, bytes } => {
                 let _ = self.socket.try_send_to(&self.envelope.seal(&bytes), to);
             }
-            Effect::Frame { to, head, tail } => self.peers.send(to, head, tail),
+            Effect::Frame { to, head, tail } => self.peers.send(to, Frame { head, tail }),
             Effect::Append { shard, ticket, records } => {
                 if let Some(disk) = self.disk.borrow_mut().as_mut() {
-                    disk.save(shard, ticket, records);
+                    disk.append(shard, ticket, records);
                 }
             }
             Effect::Rewrite { shard, ticket, records, implied } => {
@@ -301,7 +296,7 @@
                 }
             }
             Effect::ReplaceDiskIdentity { disk } => {
-                if let Some(Err(error)) = self.disk.borrow_mut().as_mut().map(|d| d.renew(disk)) {
+                if let Some(Err(error)) = self.disk.borrow_mut().as_mut().map(|d| d.renew_identity(disk)) {
                     log::error("disk", &error.to_string());
                 }
             }
@@ -397,7 +392,7 @@
             }
             for _ in 0..BURST {
                 let Ok((length, from)) = self.socket.try_recv_from(&mut buffer) else { break };
-                if !self.peers.faults.may_hear(from) {
+                if !self.peers.faults().may_receive(from) {
                     continue;
                 }
                 if let Ok(payload) = self.envelope.open(&buffer[..length]) {
@@ -438,11 +433,8 @@
     pub fn metrics(&self) -> String {
         let mut all = self.coordinator.borrow().metrics();
         all.extend(self.gateway.metrics());
-        let peers = &self.peers;
         all.extend(self.steps.metrics());
-        all.push(("peer_bytes_sent".to_owned(), peers.sent.get() as f64));
-        all.push(("peer_bytes_taken".to_owned(), peers.taken.get() as f64));
-        all.push(("peer_frames_dropped".to_owned(), peers.dropped.get() as f64));
+        all.extend(self.peers.metrics());
         all.iter().map(|(name, value)| format!("{name} {value}\n")).collect()
     }
 }
