--- a/crates/coordinator/src/batch_shard.rs
+++ b/crates/coordinator/src/batch_shard.rs
@@ -1,4 +1,4 @@
-//! A part of batch jobs at its leader: what clients ask of it, and which items run.
+//! A shard of batch jobs at its leader: submissions and reads, committed commands, and which items run.
 
 use bytes::Bytes;
 use rainlug::{SECOND, Time};
@@ -7,35 +7,37 @@
 
 use crate::invariants::Invariant;
 use crate::quota::Submission;
-use crate::shard::{ReadQuery, StateMachine};
+use crate::shard::StateMachine;
+use crate::waiting::{Poll, ProposalFate, ReadQuery};
 use crate::{Answer, Coordinator, Effect, Origin, capacity, shard_of_job};
 
-/// Items that a leader has running, at most; which of them find room at workers is decided by each pick.
-const RUNNING: usize = 512;
-/// The pause after an item found no room.
-const NO_ROOM: Time = SECOND / 66;
+/// Items that a leader runs at once, at most; which of them find a free slot is decided as each picks its worker.
+const MAX_RUNNING_ITEMS: usize = 512;
+/// The pause after an item found no free slot at any worker.
+const NO_CAPACITY_PAUSE: Time = SECOND / 66;
 /// Between the starts of two items.
-const BETWEEN: Time = SECOND / 500;
-/// Between two looks at what is overdue.
-const SWEEP: Time = SECOND / 4;
-/// By how much the times of day of two leaders may differ: no item is given up so much before its time by a later leader's clock.
+const ITEM_START_INTERVAL: Time = SECOND / 500;
+/// Between two looks for overdue items.
+const SWEEP_INTERVAL: Time = SECOND / 4;
+/// By how much the wall clocks of two leaders may differ: outputs are kept so much longer, in case a later leader's clock is ahead.
 const CLOCK_SLACK: Time = 3 * SECOND;
-/// Between two orders to forget.
-const FORGET: Time = 20 * SECOND;
+/// Between two proposals to forget jobs whose retention is over.
+const FORGET_INTERVAL: Time = 20 * SECOND;
 
 impl Coordinator {
+    /// Takes a submission: checks it, and asks for its tokens; the job is proposed once they are reserved.
     pub(crate) fn submit(&mut self, number: u16, origin: Origin, job: String, route: String, body: Bytes) {
         let wall = self.now.wall;
         let Some(shard) = self.shards.get_mut(&number) else { return };
         if number != shard_of_job(&job) {
             return self.reply(origin, Answer::with_status(400));
         }
-        // The same one again, before the first is agreed on: one answer for both, and its bytes but once.
+        // The same one again, before the first is committed: one answer for both, and its bytes are kept once.
         if let Some(submission) = shard.submissions.get_mut(&job) {
             return submission.origins.push(origin);
         }
         let Some(register) = shard.register() else { return };
-        // What is in the register is agreed on, whoever leads now.
+        // What is in the job table is committed, whoever leads now.
         if register.contains_job(&job) {
             return self.reply(origin, Answer::json(202, "{}"));
         }
@@ -75,48 +77,39 @@
         self.reserve_tokens(number, &job, submission, most);
     }
 
+    /// Ends a job at its client's request.
     pub(crate) fn end_job(&mut self, number: u16, origin: Origin, job: String) {
         let wall = self.now.wall;
         let Some(register) = self.shards.get(&number).and_then(|p| p.register()) else { return };
         if !register.contains_job(&job) {
-            // Only after a round is that sure.
+            // Only a read index round makes sure of that.
             return self.begin_read(number, origin, ReadQuery::Body { job, item: String::new() });
         }
         self.propose(number, origin, Command::End { job, timestamp: wall }.encode());
     }
 
-    pub(crate) fn answer_job_read(
-        &mut self,
-        number: u16,
-        origin: Origin,
-        job: String,
-        since: u64,
-        until: Time,
-    ) {
+    /// Answers a read of a job's outputs, or lets it wait for the first one.
+    pub(crate) fn answer_job_read(&mut self, number: u16, poll: Poll) {
         let now = self.now.steady;
         let Some(shard) = self.shards.get_mut(&number) else { return };
         let Some(register) = shard.register() else { return };
-        match register.has_output(&job, since) {
-            Some(false) if until > now => shard.polls.push((origin, job, since, until)),
-            _ => {
-                let answer = register.read_outputs(&job, since);
-                self.reply(
-                    origin,
-                    answer.map_or(Answer::with_status(404), |page| Answer::json(200, page.json)),
-                );
-            }
+        if poll.until > now && register.has_output(&poll.job, poll.since) == Some(false) {
+            return shard.waiting.add_poll(poll);
         }
+        let page = register.read_outputs(&poll.job, poll.since);
+        let answer = page.map_or(Answer::with_status(404), |page| Answer::json(200, page.json));
+        self.reply(poll.origin, answer);
     }
 
-    /// A command of a part of batch jobs is agreed on; `mine` is who waits for it, and whether it is what was proposed.
-    pub(crate) fn apply_batch_command(&mut self, number: u16, bytes: &Bytes, mine: Option<(bool, Origin)>) {
+    /// Applies a committed command of a shard of batch jobs; `proposal` is who waits for it.
+    pub(crate) fn apply_batch_command(&mut self, number: u16, bytes: &Bytes, proposal: Option<ProposalFate>) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
         let StateMachine::BatchJobs(register) = &mut shard.state_machine else { return };
         let Ok(command) = Command::decode(bytes) else {
             return self.violated(Invariant::CommandRead, &format_args!("part {number}"));
         };
         if let Some(booked) = shard.quota_ledger.apply(&command) {
-            return self.finish_ledger_command(number, booked, mine);
+            return self.finish_ledger_command(number, booked, proposal);
         }
         let applied = register.apply(&command);
         let others = match &command {
@@ -130,13 +123,11 @@
             schedule.handle_applied(register, &command, applied);
         }
         if let (Command::FinishItem { job, .. }, Applied::ItemFinished { .. }) = (&command, applied) {
-            let (ready, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut shard.polls)
-                .into_iter()
-                .partition(|(_, of, since, _)| of == job && register.has_output(of, *since) == Some(true));
-            shard.polls = rest;
+            let has_output =
+                |poll: &Poll| poll.job == *job && register.has_output(job, poll.since) == Some(true);
+            let ready = shard.waiting.take_polls(has_output).into_iter();
             let ready: Vec<(Origin, String)> = ready
-                .into_iter()
-                .filter_map(|(origin, of, since, _)| Some((origin, register.read_outputs(&of, since)?.json)))
+                .filter_map(|poll| Some((poll.origin, register.read_outputs(&poll.job, poll.since)?.json)))
                 .collect();
             for (origin, text) in ready {
                 self.reply(origin, Answer::json(200, text));
@@ -152,31 +143,28 @@
             }
         };
         others.into_iter().for_each(|other| self.reply(other, answer.clone()));
-        match mine {
-            Some((true, origin)) => self.reply(origin, answer),
-            Some((false, origin)) => self.redirect_proposed(number, origin),
+        match proposal {
+            Some(ProposalFate::Committed(origin)) => self.reply(origin, answer),
+            Some(ProposalFate::Replaced(origin)) => self.redirect_proposed(number, origin),
             None => {}
         }
     }
 
-    /// Reads that waited for an output long enough are answered without one.
+    /// Answers reads that have waited for an output long enough without one.
     pub(crate) fn expire_polls(&mut self) {
         let now = self.now.steady;
         for number in self.shards.keys().copied().collect::<Vec<u16>>() {
             let Some(shard) = self.shards.get_mut(&number) else { continue };
-            if shard.polls.iter().all(|p| p.3 > now) {
+            if shard.waiting.next_poll_timeout() > now {
                 continue;
             }
-            let (over, rest): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut shard.polls).into_iter().partition(|p| p.3 <= now);
-            shard.polls = rest;
-            for (origin, job, since, until) in over {
-                self.answer_job_read(number, origin, job, since, until);
+            for poll in shard.waiting.take_polls(|poll| poll.until <= now) {
+                self.answer_job_read(number, poll);
             }
         }
     }
 
-    /// Begins items where this process leads, and lists what is overdue.
+    /// Where this process leads: starts items that are ready, and finishes those that are overdue.
     pub(crate) fn run_items(&mut self) {
         self.expire_polls();
         for number in self.shards.keys().copied().collect::<Vec<u16>>() {
@@ -185,15 +173,16 @@
         }
     }
 
+    /// Starts the next item that is ready, unless a pause lasts or outputs wait too long for disks.
     fn start_item(&mut self, number: u16) {
         let (now, wall) = (self.now.steady, self.now.wall);
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        // After each event: nothing is summed up for parts that are not led here, nor while a pause lasts.
+        // This runs after each event: nothing is summed up for shards that are not led here, nor while a pause lasts.
         if shard.schedule.is_none() || shard.next_item_at > now {
             return;
         }
         shard.next_item_at = 0;
-        // What is held back goes on with the next word of a disk or a member.
+        // What is held back goes on with the next event of a disk or a member.
         if self.is_item_start_paused(number) {
             return;
         }
@@ -203,15 +192,16 @@
         else {
             return;
         };
-        if schedule.running_count() < RUNNING
+        if schedule.running_count() < MAX_RUNNING_ITEMS
             && let Some(next) = schedule.start_next(register, wall)
         {
             self.effects.push(Effect::RunItem { shard: number, next });
-            // One at a time: the next one is begun as soon as this one has found its worker.
-            shard.next_item_at = now + BETWEEN;
+            // One at a time: the next one is started once this one has found its worker.
+            shard.next_item_at = now + ITEM_START_INTERVAL;
         }
     }
 
+    /// Proposes the end of overdue items, and now and then to forget old jobs.
     fn finish_overdue_items(&mut self, number: u16) {
         let (now, wall) = (self.now.steady, self.now.wall);
         let Some(shard) = self.shards.get_mut(&number) else { return };
@@ -220,10 +210,10 @@
         else {
             return;
         };
-        if now - shard.last_sweep < SWEEP {
+        if now - shard.last_sweep < SWEEP_INTERVAL {
             return;
         }
-        let forget = now / FORGET != shard.last_sweep / FORGET;
+        let forget = now / FORGET_INTERVAL != shard.last_sweep / FORGET_INTERVAL;
         shard.last_sweep = now;
         let mut commands = schedule.take_proposals(register, wall);
         if forget && register.memory_bytes() > 0 {
@@ -232,7 +222,7 @@
         self.propose_unattended(number, commands);
     }
 
-    /// Proposes commands that nobody waits for. The schedule keeps those that are refused.
+    /// Proposes commands that nobody waits for. The schedule keeps those that are refused, for a later proposal.
     pub(crate) fn propose_unattended(&mut self, number: u16, commands: Vec<Command>) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
         if commands.is_empty() {
@@ -250,6 +240,7 @@
         self.process_output(number);
     }
 
+    /// Proposes the outcome of an item's run, or lets the item be run again.
     pub(crate) fn finish_item(
         &mut self,
         number: u16,
@@ -266,7 +257,7 @@
             return;
         };
         if end == RunOutcome::NoCapacity {
-            shard.next_item_at = now + NO_ROOM;
+            shard.next_item_at = now + NO_CAPACITY_PAUSE;
         }
         if let Some(command) = schedule.finish_run(register, wall, job, item, events, end) {
             self.propose_unattended(number, vec![command]);
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -30,6 +30,7 @@
 mod quota;
 mod replica_placement;
 mod replica_settings;
+mod replication;
 mod reports;
 mod serving;
 mod shard;
@@ -37,6 +38,7 @@
 mod sharding;
 mod state_machine;
 pub mod topology;
+mod waiting;
 mod worker_calls;
 
 pub use api::{Answer, Call, Effect, Now, ShardStatus};
--- a/crates/coordinator/src/quota.rs
+++ b/crates/coordinator/src/quota.rs
@@ -12,6 +12,7 @@
 
 use crate::calls::{CallCompletion, CallRequest};
 use crate::frame::Request;
+use crate::waiting::ProposalFate;
 use crate::{Answer, Coordinator, Origin, shard_of_route};
 
 /// How long a batch job waits for its tokens. Less than its dispatcher waits for its part's leader, so that a refusal arrives.
@@ -26,7 +27,7 @@
 const REPORT_WITHIN: Time = SECOND;
 /// Finished batch jobs of a route that are still to be told of, where its ledger cannot be reached. Those that are left out are
 /// released like reservations that came to nothing.
-const MOST_FINISHED: usize = 10_000;
+const MAX_FINISHED: usize = 10_000;
 /// How long a batch job is told of as finished whose reservation was not answered: it may be entered late.
 const LATE_RESERVATION: Time = 3 * SECOND;
 /// When to come back with a batch job that is over the quota, or whose ledger cannot be reached.
@@ -110,7 +111,7 @@
 
     fn tell_finished(&mut self, job: &str, until: Time) {
         self.finished.insert(job.to_owned(), until);
-        if self.finished.len() > MOST_FINISHED {
+        if self.finished.len() > MAX_FINISHED {
             self.finished.pop_first();
         }
         self.is_changed = true;
@@ -345,20 +346,20 @@
         self.propose(number, origin, command.encode());
     }
 
-    /// A command of a ledger is agreed on; `mine` is who waits for it, and whether it is what was proposed.
+    /// A command of a ledger is agreed on; `proposal` is who waits for it.
     pub(crate) fn finish_ledger_command(
         &mut self,
         number: u16,
         booked: QuotaOutcome,
-        mine: Option<(bool, Origin)>,
+        proposal: Option<ProposalFate>,
     ) {
         let answer = match booked {
             QuotaOutcome::Granted | QuotaOutcome::Reported | QuotaOutcome::Stale => Answer::with_status(200),
             QuotaOutcome::Refused => Answer::retry_after(429, OVER_QUOTA_RETRY),
         };
-        match mine {
-            Some((true, origin)) => self.reply(origin, answer),
-            Some((false, origin)) => self.redirect_proposed(number, origin),
+        match proposal {
+            Some(ProposalFate::Committed(origin)) => self.reply(origin, answer),
+            Some(ProposalFate::Replaced(origin)) => self.redirect_proposed(number, origin),
             None => {}
         }
     }
--- a/crates/coordinator/src/serving.rs
+++ b/crates/coordinator/src/serving.rs
@@ -1,4 +1,4 @@
-//! Calls that have come to this process as a part's leader.
+//! Requests that come to this process as the leader of a shard, from itself and from others.
 
 use std::net::SocketAddr;
 
@@ -11,13 +11,13 @@
 use crate::control::{Change, Store};
 use crate::frame::{Head, Request, Text, join};
 use crate::replica_placement::JoinCandidate;
-use crate::shard::ReadQuery;
+use crate::waiting::{Poll, ReadQuery};
 use crate::{Answer, CONTROL, Coordinator, Effect};
 
-/// Reads of batch jobs that wait for a round at once, over all parts led here: one round may answer all of them in one step, each with
-/// 1 MB at most. Rounds take a few milliseconds, so that this many wait only where rounds or steps are slow.
-const MOST_READS: usize = 16;
-/// When to come back with a read that was one too many.
+/// Reads of batch jobs that wait for a read index round at once, over all shards led here: one round may answer all of them in one
+/// step, each with 1 MB at most. Rounds take a few milliseconds, so that this many wait only where rounds or steps are slow.
+const MAX_PENDING_JOB_READS: usize = 16;
+/// When to repeat a read that was one too many.
 const READ_RETRY: Time = SECOND / 5;
 /// The longest delay that an answer to another process names, in milliseconds.
 const MAX_RETRY_MS: Time = 60_000;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A call that has come to this process as a part's leader.
+    /// Handles a request to a shard as its leader, or names the leader.
     pub(crate) fn handle_request(&mut self, origin: Origin, number: u16, request: Request, tail: Bytes) {
         if !self.shards.get(&number).is_some_and(|p| p.replica.is_serving_leader()) {
             return self.redirect(number, origin);
@@ -100,7 +100,7 @@
                 self.submit(number, origin, name(&job), name(&route), tail)
             }
             (1.., Request::Read { job, since, wait_ms }) => {
-                if self.reads_in_hand() >= MOST_READS {
+                if self.pending_job_reads() >= MAX_PENDING_JOB_READS {
                     return self.reply(origin, Answer::retry_after(503, READ_RETRY));
                 }
                 let until = self.now.steady + Time::from(wait_ms.min(2000)) * 1000;
@@ -123,12 +123,12 @@
         }
     }
 
-    /// Proposes a command; false where this process does not lead or cannot take it, and the call has gone elsewhere.
+    /// Proposes a command; false where this process does not lead or cannot take it, and the call was redirected.
     pub(crate) fn propose(&mut self, number: u16, origin: Origin, command: Bytes) -> bool {
         let Some(shard) = self.shards.get_mut(&number) else { return false };
         match shard.replica.propose(self.now.steady, command.clone()) {
             Ok((index, _)) => {
-                if let Some((_, lost)) = shard.waiting.insert(index, (command, origin)) {
+                if let Some(lost) = shard.waiting.add_proposal(index, command, origin) {
                     self.redirect_proposed(number, lost);
                 }
                 self.process_output(number);
@@ -141,36 +141,35 @@
         }
     }
 
-    /// Reads of batch jobs that wait for a round; those that wait for an output are not among them.
-    fn reads_in_hand(&self) -> usize {
-        let is_of_job = |query: &ReadQuery| matches!(query, ReadQuery::BatchJob { .. });
-        let reads = self.shards.values().flat_map(|shard| shard.reads.values());
-        reads.filter(|(_, query)| is_of_job(query)).count()
+    /// Reads of batch jobs that wait for a read index round; those that wait for an output are not among them.
+    fn pending_job_reads(&self) -> usize {
+        self.shards.values().map(|shard| shard.waiting.job_read_count()).sum()
     }
 
+    /// Begins a read: it is answered once a read index round has confirmed that this process leads (Raft 6.4).
     pub(crate) fn begin_read(&mut self, number: u16, origin: Origin, query: ReadQuery) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        shard.tickets += 1;
-        shard.reads.insert(shard.tickets, (origin, query));
-        shard.replica.read_index(self.now.steady, shard.tickets);
+        let ticket = shard.waiting.add_read(origin, query);
+        shard.replica.read_index(self.now.steady, ticket);
         self.process_output(number);
     }
 
+    /// Proposes a configuration.
     pub(crate) fn configure(&mut self, origin: Origin, base: u64, text: Bytes) {
         let Ok(read) = Configuration::parse(&text) else {
             return self.reply(origin, Answer::with_status(400));
         };
         let Some(control) = self.shards.get(&CONTROL).and_then(|p| p.control()) else { return };
         let version = read.version;
-        // An accepted order stays accepted, so this copy may say so. Every refusal is agreed on first: a leader that was replaced
-        // without knowing it has an old copy.
+        // What was accepted stays accepted, so this replica may say so. Every refusal is committed first: a leader that was replaced
+        // without knowing it has an old state.
         if control.accepted(version, &text) {
             return self.reply(origin, Answer::with_status(200));
         }
         self.propose(CONTROL, origin, join(&Change::Configure { base, version }, &text));
     }
 
-    /// Retires a store, once a round has shown that this leader's copy is not old.
+    /// Retires a store, once a read index round has shown that this leader's state is not old.
     pub(crate) fn retire(&mut self, origin: Origin, store: String) {
         let Some(control) = self.shards.get(&CONTROL).and_then(|p| p.control()) else { return };
         let Some(entry) = control.stores.get(&store) else {
@@ -184,19 +183,19 @@
             control.stores.values().filter(stays).fold((0, 0), |(listed, living), other| {
                 (listed + 1, living + usize::from(self.peers.live.contains_key(&other.member.address)))
             });
-        // As many as a group must have for the loss of what is to be borne.
+        // A replica set must have so many members to survive the losses that are tolerated.
         let least = self.info.min_members();
         if listed < least {
             return self.reply(origin, Answer::with_status(409));
         }
         if living < least {
-            // Those out of sight may be back soon: this is no final answer.
+            // Stores that are not live may be back soon: this is no final answer.
             return self.reply(origin, Answer::retry_after(503, SECOND / 5));
         }
         self.propose(CONTROL, origin, join(&Change::Retire { store: store.as_str().into() }, &[]));
     }
 
-    /// A read whose round has come back is answered.
+    /// Answers a read whose round has confirmed that this process leads.
     pub(crate) fn answer_read(&mut self, number: u16, origin: Origin, query: ReadQuery) {
         match query {
             ReadQuery::Configuration => {
@@ -215,7 +214,7 @@
                 self.reply(origin, Answer::json(200, format!("{{\"state\":\"{state}\"}}")));
             }
             ReadQuery::BatchJob { job, since, until } => {
-                self.answer_job_read(number, origin, job, since, until)
+                self.answer_job_read(number, Poll { origin, job, since, until })
             }
             ReadQuery::Body { job, item } => {
                 let Some(register) = self.shards.get(&number).and_then(|p| p.register()) else { return };
