--- a/crates/coordinator/src/control.rs
+++ b/crates/coordinator/src/control.rs
@@ -1,5 +1,5 @@
-//! The state machine of the configuration's part: the configuration in force, the roster of stores, and which group has which
-//! part of the batch jobs. The same at every replica.
+//! The state machine of the configuration's shard: the configuration in force, the stores, and the replica sets of the shards of
+//! batch jobs. Replicas that have applied the same commands have the same state.
 
 use std::collections::BTreeMap;
 
@@ -11,92 +11,124 @@
 use crate::frame::{DecodeError, MemberRecord, Text, join, split};
 use crate::topology::{ShardReplicaSet, StoreRecord, Topology, decode_members, encode_members};
 
-/// So many accepted versions are remembered, to know a configuration that is sent again.
-const REMEMBERED: usize = 4096;
+/// How many accepted versions are remembered, to recognize a configuration that is sent again.
+const MAX_ACCEPTED_VERSIONS: usize = 4096;
 
-/// So many fenced disks are remembered. One that was away while as many others were fenced, and is the rest of a group that none
-/// of these tells it of, is not expected.
-const FENCES: usize = 4096;
+/// How many fenced disks are remembered. It is not expected that a disk comes back after so many others were fenced, and then completes
+/// a replica set whose other members have not heard of its fence.
+const MAX_FENCED_DISKS: usize = 4096;
 
 /// Bytes of a snapshot for each version that was accepted, and for each store with its seats, about.
 const ACCEPTED_BYTES: usize = 16;
 const STORE_BYTES: usize = 256;
 
-/// A change, as it is agreed on.
+/// A change, as it is committed.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", endian = "little")]
 pub enum Change {
     /// The tail is the configuration.
     #[deku(id = "0")]
-    Configure { base: u64, version: u64 },
+    Configure {
+        /// The version that has to be in force.
+        base: u64,
+        /// The version of the configuration in the tail.
+        version: u64,
+    },
+    /// A store is there.
     #[deku(id = "1")]
-    RegisterStore { member: MemberRecord },
+    RegisterStore {
+        /// The store's disk.
+        member: MemberRecord,
+    },
+    /// A store is to give up its replicas.
     #[deku(id = "2")]
-    Retire { store: Text },
-    /// The first group of a part, or how it stands now.
+    Retire {
+        /// The store's name.
+        store: Text,
+    },
+    /// The founding replica set of a shard, or how it stands now.
     #[deku(id = "3")]
     SetReplicaSet {
+        /// The shard's number.
         shard: u16,
+        /// The term of the leader that reported it; 0 for the founding replica set.
         term: u64,
-        /// The group is as of this entry of the part's log, or a later one; 0 for the first group.
+        /// The replica set is as of this entry of the shard's log, or a later one; 0 for the founding replica set.
         index: u64,
         /// How many retirements its leader knew of.
         retirements: u32,
+        /// The length of `members`.
         member_count: u16,
+        /// The replica set.
         #[deku(count = "member_count")]
         members: Vec<MemberRecord>,
     },
-    /// The disk has no part in breaking a tie from now on.
+    /// The disk's vote does not break a tie from now on.
     #[deku(id = "4")]
-    Fence { disk: u64 },
+    Fence {
+        /// The disk's identity.
+        disk: u64,
+    },
 }
 
 /// What a change did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// It took effect, or had done so before.
     Done,
     /// Another version is in force.
     Conflict,
     /// Its version is not above the one in force.
     Stale,
+    /// There is no such store.
     Unknown,
 }
 
-/// A part's group.
+/// A shard's replica set.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Group {
+pub struct ReplicaSet {
+    /// The members that the shard was founded with; no entry of its log names them.
     pub founding: Vec<Member>,
+    /// The term of the leader that reported it; 0 for the founding one.
     pub term: u64,
-    /// The group is as of this entry of the part's log, or a later one.
+    /// The replica set is as of this entry of the shard's log, or a later one.
     pub index: u64,
-    /// Its leader had taken so many retirements into account when it told of this group.
+    /// How many retirements that leader had taken into account.
     pub retirements: u32,
+    /// The members now.
     pub members: Vec<Member>,
 }
 
+/// The state of the configuration's shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Control {
+    /// The version of the configuration in force; 0 where there is none.
     pub version: u64,
+    /// The configuration in force, as JSON.
     pub text: Bytes,
     /// Versions that were accepted, with the hash of each.
     accepted: BTreeMap<u64, u64>,
+    /// The stores by name.
     pub stores: BTreeMap<String, Store>,
-    pub groups: BTreeMap<u16, Group>,
+    /// The replica sets of the shards of batch jobs that are founded.
+    pub replica_sets: BTreeMap<u16, ReplicaSet>,
     /// Retirements that were ever ordered.
     retirements: u32,
-    /// Disks that break no tie any more, in the order in which that was decided.
+    /// Disks whose vote does not break a tie any more, in the order in which that was decided.
     fenced: Vec<MemberId>,
 }
 
-/// A store on the roster.
+/// A store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Store {
+    /// Its disk, as a member of replica sets.
     pub member: Member,
     /// The number of its retirement, from 1; 0 where it stays.
     pub retirement: u32,
 }
 
 impl Store {
+    /// Whether it was ordered to give up its replicas.
     pub fn is_retiring(&self) -> bool {
         self.retirement > 0
     }
@@ -104,23 +136,23 @@
 
 #[derive(DekuRead, DekuWrite)]
 #[deku(endian = "little")]
-struct Image {
+struct SnapshotImage {
     version: u64,
     versions: u32,
     #[deku(count = "versions")]
-    accepted: Vec<Pair>,
+    accepted: Vec<AcceptedVersion>,
     topology: Topology,
 }
 
 #[derive(DekuRead, DekuWrite)]
 #[deku(ctx = "endian: deku::ctx::Endian", endian = "endian")]
-struct Pair {
+struct AcceptedVersion {
     version: u64,
     hash: u64,
 }
 
 impl Change {
-    /// A part's first group, to be agreed on.
+    /// A shard's founding replica set, to be committed.
     pub fn founded(shard: u16, members: &[Member]) -> Self {
         let member_count = members.len() as u16;
         let members = encode_members(members);
@@ -129,18 +161,21 @@
 }
 
 impl Control {
-    /// Applies an agreed change.
+    /// Applies a committed change.
+    ///
+    /// # Errors
+    /// Where the bytes are not a change; the state is as before.
     pub fn apply(&mut self, bytes: &Bytes) -> Result<Outcome, DecodeError> {
         let (change, tail): (Change, Bytes) = split(bytes)?;
         Ok(match change {
             Change::Configure { base, version } => self.configure(base, version, tail),
             Change::RegisterStore { member } => {
-                self.enter_store(member.to_member()?);
+                self.register_store(member.to_member()?);
                 Outcome::Done
             }
             Change::Retire { store } => self.retire(store.to_str()?),
             Change::SetReplicaSet { shard, term, index, retirements, members: records, .. } => {
-                self.seat(shard, (term, index), retirements, decode_members(&records)?);
+                self.set_replica_set(shard, (term, index), retirements, decode_members(&records)?);
                 Outcome::Done
             }
             Change::Fence { disk } => {
@@ -150,8 +185,8 @@
         })
     }
 
-    /// A store tells of itself. Whoever had its name or address with another disk is gone, and so is that disk.
-    fn enter_store(&mut self, member: Member) {
+    /// Enters a store. Whoever had its name or address with another disk is gone, and so is that disk.
+    fn register_store(&mut self, member: Member) {
         let replaced = |store: &Store| {
             let same_place = store.member.address == member.address || store.member.name == member.name;
             same_place && store.member.id != member.id
@@ -173,14 +208,14 @@
         Outcome::Done
     }
 
-    fn seat(&mut self, shard: u16, at: (u64, u64), retirements: u32, members: Vec<Member>) {
+    fn set_replica_set(&mut self, shard: u16, at: (u64, u64), retirements: u32, members: Vec<Member>) {
         let (term, index) = at;
-        match self.groups.get_mut(&shard) {
+        match self.replica_sets.get_mut(&shard) {
             None => {
                 let founding = members.clone();
-                self.groups.insert(shard, Group { founding, term, index, retirements, members });
+                self.replica_sets.insert(shard, ReplicaSet { founding, term, index, retirements, members });
             }
-            // A founding that came twice, or word of a leader before.
+            // A founding that is committed twice, or the report of an earlier leader.
             Some(group) if term <= group.term && (term == 0 || term < group.term) => {}
             Some(group) => {
                 (group.term, group.index) = (term, index);
@@ -194,10 +229,11 @@
             return;
         }
         self.fenced.push(disk);
-        let surplus = self.fenced.len().saturating_sub(FENCES);
+        let surplus = self.fenced.len().saturating_sub(MAX_FENCED_DISKS);
         self.fenced.drain(..surplus);
     }
 
+    /// Whether a disk is fenced.
     pub fn is_fenced(&self, disk: MemberId) -> bool {
         self.fenced.contains(&disk)
     }
@@ -207,14 +243,14 @@
         self.retirements
     }
 
-    /// Whether a store that retires may be taken away: every part's leader knows that it retires, and has handed over to a group
+    /// Whether a store that retires may be taken away: every shard's leader knows that it retires, and leads a replica set
     /// without it.
     pub fn may_go(&self, store: &Store) -> bool {
-        // By name too: a group may still count on a disk that this machine has lost.
+        // By name too: a replica set may still count on a disk that this machine has lost.
         let is_it = |member: &Member| member.id == store.member.id || member.name == store.member.name;
         let without_it =
-            |group: &Group| group.retirements >= store.retirement && !group.members.iter().any(is_it);
-        store.is_retiring() && self.groups.values().all(without_it)
+            |group: &ReplicaSet| group.retirements >= store.retirement && !group.members.iter().any(is_it);
+        store.is_retiring() && self.replica_sets.values().all(without_it)
     }
 
     fn configure(&mut self, base: u64, version: u64, text: Bytes) -> Outcome {
@@ -230,7 +266,7 @@
         }
         (self.version, self.text) = (version, text);
         self.accepted.insert(version, hash);
-        while self.accepted.len() > REMEMBERED {
+        while self.accepted.len() > MAX_ACCEPTED_VERSIONS {
             self.accepted.pop_first();
         }
         Outcome::Done
@@ -241,12 +277,12 @@
         self.accepted.get(&version) == Some(&xxh3_64(text))
     }
 
-    /// The roster, with the configuration's own group.
+    /// The topology, with the replica set of the configuration's shard.
     pub fn topology(&self, core: &[Member]) -> Topology {
         let seat =
             |store: &Store| StoreRecord { member: (&store.member).into(), retirement: store.retirement };
         let stores = self.stores.values().map(seat).collect();
-        let listed = |(shard, group): (&u16, &Group)| {
+        let listed = |(shard, group): (&u16, &ReplicaSet)| {
             ShardReplicaSet::new(
                 *shard,
                 (group.term, group.index),
@@ -255,7 +291,7 @@
                 encode_members(&group.members),
             )
         };
-        let groups = self.groups.iter().map(listed).collect();
+        let groups = self.replica_sets.iter().map(listed).collect();
         Topology::new(encode_members(core), stores, groups, self.retirements, self.fenced.clone())
     }
 
@@ -264,18 +300,23 @@
         self.text.len() + ACCEPTED_BYTES * self.accepted.len() + STORE_BYTES * self.stores.len()
     }
 
+    /// Its bytes, for [`Control::restore`].
     pub fn snapshot(&self) -> Bytes {
-        let accepted = self.accepted.iter().map(|(version, hash)| Pair { version: *version, hash: *hash });
-        let accepted: Vec<Pair> = accepted.collect();
+        let accepted =
+            self.accepted.iter().map(|(version, hash)| AcceptedVersion { version: *version, hash: *hash });
+        let accepted: Vec<AcceptedVersion> = accepted.collect();
         let topology = self.topology(&[]);
-        let image = Image { version: self.version, versions: accepted.len() as u32, accepted, topology };
+        let image =
+            SnapshotImage { version: self.version, versions: accepted.len() as u32, accepted, topology };
         join(&image, &self.text)
     }
 
+    /// The state that a snapshot was taken of.
+    ///
     /// # Errors
     /// Where the bytes are not a snapshot.
     pub fn restore(bytes: &Bytes) -> Result<Self, DecodeError> {
-        let (image, text): (Image, Bytes) = split(bytes)?;
+        let (image, text): (SnapshotImage, Bytes) = split(bytes)?;
         let mut control = Control { version: image.version, text, ..Control::default() };
         control.accepted = image.accepted.iter().map(|p| (p.version, p.hash)).collect();
         for store in &image.topology.stores {
@@ -285,8 +326,8 @@
         for group in &image.topology.replica_sets {
             let (founding, seated) = (decode_members(&group.founding)?, decode_members(&group.members)?);
             let (term, index, retirements) = (group.term, group.index, group.retirements);
-            let seated = Group { founding, term, index, retirements, members: seated };
-            control.groups.insert(group.shard, seated);
+            let seated = ReplicaSet { founding, term, index, retirements, members: seated };
+            control.replica_sets.insert(group.shard, seated);
         }
         control.retirements = image.topology.retirements;
         control.fenced = image.topology.fenced;
--- a/crates/coordinator/src/disk_fencing.rs
+++ b/crates/coordinator/src/disk_fencing.rs
@@ -19,7 +19,7 @@
     pub(crate) fn fence_absent_disks(&mut self) {
         let Some(control) = self.shards.get(&CONTROL).and_then(|shard| shard.control()) else { return };
         let mut fences: Vec<MemberId> = Vec::new();
-        for set in control.groups.values() {
+        for set in control.replica_sets.values() {
             let is_absent = |member: &&Member| self.absence(&member.address) > FENCE_ABSENT_AFTER;
             let absent: Vec<&Member> = set.members.iter().filter(is_absent).collect();
             let is_tied = 2 * absent.len() == set.members.len();
--- a/crates/coordinator/src/frame.rs
+++ b/crates/coordinator/src/frame.rs
@@ -1,20 +1,22 @@
-//! What processes of the tier send one another over connections: a head by `deku`, and a tail of plain bytes that is passed on
-//! as it is.
+//! Frames, which processes of the tier send one another over connections: a head in a fixed layout (`deku`, little-endian), and a tail
+//! of plain bytes that is passed on as it is.
+//!
+//! Processes of two versions talk to one another during an upgrade: ids and layouts stay as they are.
 
 use bytes::{Bytes, BytesMut};
 use deku::prelude::*;
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why bytes were not taken.
+    /// Why bytes could not be decoded.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum DecodeError {
-        /// They end too early, or say what no process says.
+        /// They end too early, or are not a layout of this tier.
         Malformed { display("not a frame of this tier") }
     }
 }
 
-/// A text of a head: 64 KiB at most.
+/// A text in a head: 64 KiB at most.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(ctx = "endian: deku::ctx::Endian", ctx_default = "deku::ctx::Endian::Little", endian = "endian")]
 pub struct Text {
@@ -31,6 +33,10 @@
 }
 
 impl Text {
+    /// The text.
+    ///
+    /// # Errors
+    /// Where it is not UTF-8.
     pub fn to_str(&self) -> Result<&str, DecodeError> {
         str::from_utf8(&self.bytes).map_err(|_| DecodeError::Malformed)
     }
@@ -40,7 +46,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(ctx = "endian: deku::ctx::Endian", ctx_default = "deku::ctx::Endian::Little", endian = "endian")]
 pub struct PeerAddress {
+    /// The IPv4 address.
     pub ip: [u8; 4],
+    /// The port; 0 where there is no address.
     pub port: u16,
 }
 
@@ -60,18 +68,22 @@
 }
 
 impl From<PeerAddress> for std::net::SocketAddr {
-    fn from(place: PeerAddress) -> Self {
-        (place.ip, place.port).into()
+    fn from(address: PeerAddress) -> Self {
+        (address.ip, address.port).into()
     }
 }
 
-/// A member of a group on the wire.
+/// A member of a replica set on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(ctx = "endian: deku::ctx::Endian", ctx_default = "deku::ctx::Endian::Little", endian = "endian")]
 pub struct MemberRecord {
+    /// The disk's identity.
     pub id: u64,
+    /// The name of its process's machine.
     pub name: Text,
+    /// The failure domain.
     pub zone: Text,
+    /// Where the process hears its peers.
     pub at: PeerAddress,
 }
 
@@ -87,6 +99,10 @@
 }
 
 impl MemberRecord {
+    /// The member that it stands for.
+    ///
+    /// # Errors
+    /// Where its name or zone is not UTF-8.
     pub fn to_member(&self) -> Result<rainlug_consensus::Member, DecodeError> {
         Ok(rainlug_consensus::Member {
             id: self.id,
@@ -101,86 +117,172 @@
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", endian = "little")]
 pub enum Head {
-    /// Of the gossip.
+    /// A message of the gossip, in the tail.
     #[deku(id = "0")]
     Gossip,
-    /// Of a part's group.
+    /// A message between the replicas of a shard, in the tail.
     #[deku(id = "1")]
-    Consensus { shard: u16 },
-    /// A call to a part's leader; the tail is the request.
+    Consensus {
+        /// The shard's number.
+        shard: u16,
+    },
+    /// A call to a shard's leader; the tail is a [`Request`] and what follows it.
     #[deku(id = "2")]
-    Call { nonce: u64, shard: u16 },
-    /// Its answer; the tail is the body.
+    Call {
+        /// What the answer names; unique at the caller.
+        nonce: u64,
+        /// The shard's number.
+        shard: u16,
+    },
+    /// The answer to a call; the tail is the body.
     #[deku(id = "3")]
-    Answer { nonce: u64, status: u16, retry_ms: u32, json: u8 },
-    /// Its answer: another one leads, as far as is known (port 0: nobody).
+    Answer {
+        /// The call's nonce.
+        nonce: u64,
+        /// An HTTP status.
+        status: u16,
+        /// When to come back, in milliseconds; 0: not said.
+        retry_ms: u32,
+        /// Not 0 where the body is JSON.
+        json: u8,
+    },
+    /// The answer to a call of a process that does not lead the shard.
     #[deku(id = "4")]
     NotLeader {
+        /// The call's nonce.
         nonce: u64,
         /// Not 0 where it was proposed first, and may be committed yet.
         proposed: u8,
+        /// Who leads, as far as is known; [`PeerAddress::NONE`] if nobody.
         leader: PeerAddress,
     },
-    /// A call to a part's leader by way of the receiver, which asks on; the tail is as with [`Head::Call`].
+    /// A call to a shard's leader by way of the receiver, which attempts it in its turn; the tail is as with [`Head::Call`].
     #[deku(id = "5")]
-    Relay { nonce: u64, shard: u16, within_ms: u32, slack_ms: u32, unclear: u16 },
+    Relay {
+        /// What the answer names; unique at the caller.
+        nonce: u64,
+        /// The shard's number.
+        shard: u16,
+        /// How long the call may be attempted, in milliseconds.
+        within_ms: u32,
+        /// How long the leader may wait before it answers, in milliseconds.
+        slack_ms: u32,
+        /// The status where time ran out and the call may have taken effect.
+        unclear: u16,
+    },
 }
 
-/// What is asked of a part's leader.
+/// What a shard's leader is asked for.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", endian = "little")]
 pub enum Request {
-    /// Of the configuration's part. The tail is the configuration; `base` is `If-Match`.
+    /// To the configuration's shard: put the configuration in the tail in force.
     #[deku(id = "0")]
-    Configure { base: u64 },
+    Configure {
+        /// The version that has to be in force (`If-Match`).
+        base: u64,
+    },
+    /// To the configuration's shard: read the configuration.
     #[deku(id = "1")]
     Configuration,
+    /// To the configuration's shard: retire a store.
     #[deku(id = "2")]
-    Retire { store: Text },
+    Retire {
+        /// The store's name.
+        store: Text,
+    },
+    /// To the configuration's shard: read whether a store may be taken away.
     #[deku(id = "3")]
-    RetirementStatus { store: Text },
-    /// A disk of the core would have a seat.
+    RetirementStatus {
+        /// The store's name.
+        store: Text,
+    },
+    /// To the configuration's shard: a gateway's disk could be a member of it.
     #[deku(id = "4")]
-    Join { member: MemberRecord },
-    /// A store is there.
+    Join {
+        /// The disk.
+        member: MemberRecord,
+    },
+    /// To the configuration's shard: a store is there.
     #[deku(id = "5")]
-    RegisterStore { member: MemberRecord },
-    /// A part's group as it stands committed.
+    RegisterStore {
+        /// The store's disk.
+        member: MemberRecord,
+    },
+    /// To the configuration's shard: the committed replica set of a shard of batch jobs, from that shard's leader.
     #[deku(id = "6")]
     ReportReplicaSet {
+        /// The shard's number.
         shard: u16,
+        /// The leader's term.
         term: u64,
-        /// The group is as of this entry of the part's log, or a later one.
+        /// The replica set is as of this entry of the shard's log, or a later one.
         index: u64,
-        /// How many retirements its leader knows of.
+        /// How many retirements the leader knows of.
         retirements: u32,
+        /// The length of `members`.
         member_count: u16,
+        /// The replica set.
         #[deku(count = "member_count")]
         members: Vec<MemberRecord>,
     },
-    /// Who leads the part: asked before a long tail is sent.
+    /// To any shard: who leads it. Asked before a long tail is sent.
     #[deku(id = "7")]
     Locate,
-    /// Of a part of batch jobs. The tail is the body as the client sent it.
+    /// To a shard of batch jobs: take a job. The tail is the body as the client sent it.
     #[deku(id = "16")]
-    Submit { job: Text, route: Text },
+    Submit {
+        /// The job's id.
+        job: Text,
+        /// The name of its route.
+        route: Text,
+    },
+    /// To a shard of batch jobs: read a job's outputs.
     #[deku(id = "17")]
-    Read { job: Text, since: u64, wait_ms: u32 },
+    Read {
+        /// The job's id.
+        job: Text,
+        /// The position of the first output to read.
+        since: u64,
+        /// How long to wait where there is no output yet, in milliseconds.
+        wait_ms: u32,
+    },
+    /// To a shard of batch jobs: read the body of an item's request.
     #[deku(id = "18")]
-    Body { job: Text, item: Text },
+    Body {
+        /// The job's id.
+        job: Text,
+        /// The item's id.
+        item: Text,
+    },
+    /// To a shard of batch jobs: end a job.
     #[deku(id = "19")]
-    End { job: Text },
-    /// Of a route's ledger: tokens of a batch job of `part`, before it is proposed there.
+    End {
+        /// The job's id.
+        job: Text,
+    },
+    /// To the shard with a route's quota ledger: reserve a job's tokens, before the job is proposed.
     #[deku(id = "20")]
-    Reserve { job: Text, route: Text, shard: u16, tokens: u64, most: u64 },
-    /// Of a route's ledger. The tail is the command that settles, but for its time.
+    Reserve {
+        /// The job's id.
+        job: Text,
+        /// The route's name.
+        route: Text,
+        /// The shard that the job is in.
+        shard: u16,
+        /// The job's tokens.
+        tokens: u64,
+        /// How many tokens may wait on the route; 0: no limit.
+        most: u64,
+    },
+    /// To the shard with a route's quota ledger: which tokens wait. The tail is the command to propose, but for its time.
     #[deku(id = "21")]
     ReportUsage,
 }
 
-/// A head and its tail in one piece.
+/// Encodes a head and appends its tail.
 pub fn join<H: DekuContainerWrite>(head: &H, tail: &[u8]) -> Bytes {
-    // Writing to memory fails for no head that this program makes.
+    // Encoding to memory fails for no head that this program makes.
     let head = head.to_bytes().unwrap_or_default();
     let mut bytes = BytesMut::with_capacity(head.len() + tail.len());
     bytes.extend_from_slice(&head);
@@ -188,7 +290,7 @@
     bytes.freeze()
 }
 
-/// Takes them apart.
+/// Decodes a head; its tail.
 ///
 /// # Errors
 /// Where the bytes do not begin with a head.
--- a/crates/coordinator/src/quota.rs
+++ b/crates/coordinator/src/quota.rs
@@ -1,5 +1,8 @@
-//! Quotas over all parts: a route's tokens are counted by the ledger in the part [`part_of`] its name. The leader of a batch
-//! job's part reserves the job's tokens there before it proposes the job, and reports what still waits.
+//! Quotas over all shards of batch jobs.
+//!
+//! A route's waiting tokens are counted by the quota ledger in one shard, [`shard_of_route`]. The leader of a job's shard reserves the
+//! job's tokens there before it proposes the job, and reports which tokens still wait. A reservation that later reports do not name is
+//! released after a grace period ([`RESERVATION_GRACE`]): a job that came to nothing holds no tokens for long.
 
 use std::collections::BTreeMap;
 
@@ -16,25 +19,25 @@
 use crate::{Answer, Coordinator, Origin, shard_of_route};
 
 /// How long a batch job waits for its tokens. Less than its dispatcher waits for its part's leader, so that a refusal arrives.
-const RESERVE_WITHIN: Time = 8 * SECOND / 10;
-/// How long a ledger's leader may wait for its group.
-const COMMIT_SLACK: Time = SECOND / 5;
-/// Between two reports of the same route, where something has changed.
-const REPORT_EVERY: Time = SECOND / 4;
+const RESERVATION_TIMEOUT: Time = 8 * SECOND / 10;
+/// How long a ledger's leader may wait for its replica set.
+const LEDGER_LEADER_WAIT: Time = SECOND / 5;
+/// Between two reports on the same route where something has changed.
+const MIN_REPORT_INTERVAL: Time = SECOND / 4;
 /// Between two reports of the same route, where nothing has: reservations that came to nothing are released by one of them.
-const REPORT_AGAIN: Time = 5 * SECOND;
-/// How long a report is tried; then a newer one is made.
-const REPORT_WITHIN: Time = SECOND;
+const MAX_REPORT_INTERVAL: Time = 5 * SECOND;
+/// How long a report is attempted; then a newer one is made.
+const REPORT_TIMEOUT: Time = SECOND;
 /// Finished batch jobs of a route that are still to be told of, where its ledger cannot be reached. Those that are left out are
 /// released like reservations that came to nothing.
 const MAX_FINISHED: usize = 10_000;
-/// How long a batch job is told of as finished whose reservation was not answered: it may be entered late.
-const LATE_RESERVATION: Time = 3 * SECOND;
+/// How long a batch job is reported of as finished whose reservation was not answered: it may be entered late.
+const LATE_RESERVATION_TIMEOUT: Time = 3 * SECOND;
 /// When to come back with a batch job that is over the quota, or whose ledger cannot be reached.
 const OVER_QUOTA_RETRY: Time = SECOND / 2;
 const NO_LEDGER_RETRY: Time = SECOND / 2;
 
-/// A batch job that is not agreed on yet.
+/// A batch job that is not committed yet.
 pub(crate) struct Submission {
     /// Bytes that it and its outputs will take on the disk.
     pub bytes: u64,
@@ -74,13 +77,13 @@
 
 /// A ledger's answer to a reservation.
 pub(crate) struct ReservationAnswer {
-    /// The part of the batch job.
+    /// The shard of the batch job.
     pub shard: u16,
     pub job: String,
     pub answer: Answer,
 }
 
-/// What the leader of a part reports to the ledgers of its batch jobs' routes.
+/// What the leader of a shard reports to the quota ledgers of its batch jobs' routes.
 pub(crate) struct UsageReports {
     last: UsageReportNumber,
     routes: BTreeMap<String, RouteReport>,
@@ -90,11 +93,11 @@
 struct RouteReport {
     /// Unfinished batch jobs with the tokens that wait.
     open: BTreeMap<String, u64>,
-    /// Batch jobs that have finished, or came to nothing, and until when each is told of, once at least: maybe no report has named
+    /// Batch jobs that have finished, or came to nothing, and until when each is reported of, once at least: maybe no report has named
     /// it while it was unfinished, or its reservation is still on its way.
     finished: BTreeMap<String, Time>,
     /// Those of them that the last report told of.
-    told: Vec<String>,
+    reported_finished: Vec<String>,
     /// There is something that no report has told.
     is_changed: bool,
     /// The last report is not answered yet.
@@ -105,11 +108,11 @@
 impl RouteReport {
     fn finish(&mut self, job: &str) {
         if self.open.remove(job).is_some() {
-            self.tell_finished(job, 0);
+            self.add_finished(job, 0);
         }
     }
 
-    fn tell_finished(&mut self, job: &str, until: Time) {
+    fn add_finished(&mut self, job: &str, until: Time) {
         self.finished.insert(job.to_owned(), until);
         if self.finished.len() > MAX_FINISHED {
             self.finished.pop_first();
@@ -117,30 +120,30 @@
         self.is_changed = true;
     }
 
-    /// What a report tells now, but for what is proposed.
-    fn tell(&mut self, now: Time) -> BTreeMap<String, u64> {
+    /// Begins a report: the tokens of each job, without those that are only proposed.
+    fn begin_report(&mut self, now: Time) -> BTreeMap<String, u64> {
         (self.is_changed, self.is_under_way, self.sent_at) = (false, true, now);
-        self.told =
+        self.reported_finished =
             self.finished.iter().filter(|(_, until)| **until <= now).map(|(job, _)| job.clone()).collect();
         let finished = self.finished.keys().map(|job| (job.clone(), 0));
         finished.chain(self.open.clone()).collect()
     }
 
     /// The last report was answered, or had no answer in time.
-    fn told(&mut self, is_entered: bool) {
+    fn finish_report(&mut self, is_entered: bool) {
         self.is_under_way = false;
         self.is_changed |= !is_entered;
-        for job in std::mem::take(&mut self.told).iter().filter(|_| is_entered) {
+        for job in std::mem::take(&mut self.reported_finished).iter().filter(|_| is_entered) {
             self.finished.remove(job);
         }
         self.is_changed |= !self.finished.is_empty();
     }
 
-    fn due_at(&self) -> Time {
+    fn next_report_at(&self) -> Time {
         match (self.is_under_way, self.is_changed) {
             (true, _) => Time::MAX,
-            (false, true) => self.sent_at + REPORT_EVERY,
-            (false, false) => self.sent_at + REPORT_AGAIN,
+            (false, true) => self.sent_at + MIN_REPORT_INTERVAL,
+            (false, false) => self.sent_at + MAX_REPORT_INTERVAL,
         }
     }
 }
@@ -155,18 +158,18 @@
             reports.route(route).open.insert(id.to_owned(), waiting_tokens);
         }
         for (route, job) in register.closed_jobs_since(wall - 2 * RESERVATION_GRACE) {
-            reports.route(route).tell_finished(job, 0);
+            reports.route(route).add_finished(job, 0);
         }
         reports
     }
 
-    /// Nothing was proposed of a batch job whose tokens were asked for; the ledger may enter the reservation yet.
-    fn came_to_nothing(&mut self, route: &str, job: &str, now: Time) {
-        self.route(route).tell_finished(job, now + LATE_RESERVATION);
+    /// Nothing was proposed of a batch job whose tokens were asked for; the quota ledger may enter the reservation yet.
+    fn cancel_reservation(&mut self, route: &str, job: &str, now: Time) {
+        self.route(route).add_finished(job, now + LATE_RESERVATION_TIMEOUT);
     }
 
     /// A batch job's tokens are asked for.
-    fn is_reserving(&mut self, route: &str, job: &str) {
+    fn begin_reservation(&mut self, route: &str, job: &str) {
         self.route(route).finished.remove(job);
     }
 
@@ -177,7 +180,7 @@
         self.routes.entry(route.to_owned()).or_default()
     }
 
-    /// After a command was applied to the register.
+    /// After a command was applied to the job table.
     pub fn applied(&mut self, register: &JobTable, command: &Command) {
         let (Command::Submit { job, .. } | Command::FinishItem { job, .. } | Command::End { job, .. }) =
             command
@@ -194,7 +197,7 @@
         }
     }
 
-    /// Tokens that wait in the part.
+    /// Tokens that wait in the shard.
     pub fn tokens(&self) -> u64 {
         self.routes
             .values()
@@ -203,23 +206,23 @@
     }
 
     /// When the next report is due.
-    pub fn next(&self) -> Time {
-        self.routes.values().map(RouteReport::due_at).min().unwrap_or(Time::MAX)
+    pub fn next_timeout(&self) -> Time {
+        self.routes.values().map(RouteReport::next_report_at).min().unwrap_or(Time::MAX)
     }
 
     /// The reports that are due now, for each route.
-    fn take_due(
+    fn take_due_reports(
         &mut self,
         now: Time,
         shard: u16,
-        submission: &BTreeMap<String, Submission>,
+        submissions: &BTreeMap<String, Submission>,
     ) -> Vec<(String, Command)> {
         let mut due = Vec::new();
-        for (route, report) in self.routes.iter_mut().filter(|(_, report)| report.due_at() <= now) {
+        for (route, report) in self.routes.iter_mut().filter(|(_, report)| report.next_report_at() <= now) {
             self.last.sequence += 1;
-            let mut open = report.tell(now);
+            let mut open = report.begin_report(now);
             // What is proposed may be committed yet, even if it takes longer than the reservation's grace.
-            let proposed = submission.iter().filter(|(_, s)| s.is_proposed() && s.route == *route);
+            let proposed = submissions.iter().filter(|(_, s)| s.is_proposed() && s.route == *route);
             open.extend(proposed.map(|(job, s)| (job.clone(), s.tokens)));
             let open = open.into_iter().map(|(job, tokens)| JobUsage { job, tokens }).collect();
             let command = Command::ReportUsage {
@@ -237,13 +240,13 @@
 
 impl Coordinator {
     /// Asks for a batch job's tokens; the job is proposed once they are reserved. At most `most` may wait on the route (0: no
-    /// limit, and no need to ask: the part's reports tell of the job).
+    /// limit, and no need to ask: the shard's reports tell of the job).
     pub(crate) fn reserve_tokens(&mut self, number: u16, job: &str, submission: Submission, most: u64) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
         let (route, tokens) = (submission.route.clone(), submission.tokens);
         shard.submissions.insert(job.to_owned(), submission);
         if let Some(reports) = &mut shard.reports {
-            reports.is_reserving(&route, job);
+            reports.begin_reservation(&route, job);
         }
         if most == 0 {
             let granted =
@@ -254,8 +257,8 @@
             Request::Reserve { job: job.into(), route: route.as_str().into(), shard: number, tokens, most };
         let completion = CallCompletion::Reservation { shard: number, job: job.to_owned() };
         self.call_shard(CallRequest {
-            leader_wait: COMMIT_SLACK,
-            ..CallRequest::new(shard_of_route(&route), &request, completion, RESERVE_WITHIN)
+            leader_wait: LEDGER_LEADER_WAIT,
+            ..CallRequest::new(shard_of_route(&route), &request, completion, RESERVATION_TIMEOUT)
         });
     }
 
@@ -303,7 +306,7 @@
         if refusal.status != 429
             && let Some(reports) = &mut shard.reports
         {
-            reports.came_to_nothing(&submission.route, job, now);
+            reports.cancel_reservation(&submission.route, job, now);
         }
         submission.origins.into_iter().for_each(|origin| self.reply(origin, refusal.clone()));
     }
@@ -314,21 +317,21 @@
         origins.into_iter().for_each(|origin| self.redirect(number, origin));
     }
 
-    /// A reservation, asked of this process as the leader of the ledger's part.
+    /// A reservation, asked of this process as the leader of the quota ledger's shard.
     pub(crate) fn receive_reservation(&mut self, number: u16, origin: Origin, command: Command) {
         let Command::Reserve { route, job, shard, tokens, max_waiting_tokens, .. } = &command else { return };
         let Some(counts) = self.shards.get(&number) else { return };
         if shard_of_route(route) != number {
             return self.reply(origin, Answer::with_status(400));
         }
-        // A refusal need not be agreed on: where this copy is old, the job fits when it comes again.
+        // A refusal need not be committed: where this copy is old, the job fits when it comes again.
         if !counts.quota_ledger.can_reserve(route, job, *shard, *tokens, *max_waiting_tokens) {
             return self.reply(origin, Answer::retry_after(429, OVER_QUOTA_RETRY));
         }
         self.propose(number, origin, command.encode());
     }
 
-    /// A report, made to this process as the leader of the ledger's part.
+    /// A report, made to this process as the leader of the quota ledger's shard.
     pub(crate) fn receive_usage_report(&mut self, number: u16, origin: Origin, report: &Bytes) {
         let wall = self.now.wall;
         let Some(counts) = self.shards.get(&number) else { return };
@@ -346,7 +349,7 @@
         self.propose(number, origin, command.encode());
     }
 
-    /// A command of a ledger is agreed on; `proposal` is who waits for it.
+    /// A command of a ledger is committed; `proposal` is who waits for it.
     pub(crate) fn finish_ledger_command(
         &mut self,
         number: u16,
@@ -364,7 +367,7 @@
         }
     }
 
-    /// Parts that this process leads report on all routes, also where they have none of its batch jobs.
+    /// Shards that this process leads report on all routes, also where they have none of its batch jobs.
     pub(crate) fn track_routes(&mut self) {
         let Some(configuration) = &self.configuration else { return };
         for reports in self.shards.values_mut().filter_map(|shard| shard.reports.as_mut()) {
@@ -381,7 +384,7 @@
         let mut due = Vec::new();
         for (number, shard) in &mut self.shards {
             if let Some(reports) = &mut shard.reports {
-                let reports = reports.take_due(now, *number, &shard.submissions);
+                let reports = reports.take_due_reports(now, *number, &shard.submissions);
                 due.extend(reports.into_iter().map(|(route, command)| (*number, route, command)));
             }
         }
@@ -390,8 +393,8 @@
             let completion = CallCompletion::UsageReport { shard, route };
             self.call_shard(CallRequest {
                 tail: command.encode(),
-                leader_wait: COMMIT_SLACK,
-                ..CallRequest::new(quota_ledger, &Request::ReportUsage, completion, REPORT_WITHIN)
+                leader_wait: LEDGER_LEADER_WAIT,
+                ..CallRequest::new(quota_ledger, &Request::ReportUsage, completion, REPORT_TIMEOUT)
             });
         }
     }
@@ -400,7 +403,7 @@
     pub(crate) fn finish_usage_report(&mut self, number: u16, route: &str, is_entered: bool) {
         let reports = self.shards.get_mut(&number).and_then(|shard| shard.reports.as_mut());
         if let Some(report) = reports.and_then(|reports| reports.routes.get_mut(route)) {
-            report.told(is_entered);
+            report.finish_report(is_entered);
         }
     }
 }
--- a/crates/coordinator/src/shard.rs
+++ b/crates/coordinator/src/shard.rs
@@ -103,7 +103,7 @@
 
     /// When the replica, a waiting read, the next item or a usage report is due (steady clock).
     pub fn next_timeout(&self) -> Time {
-        let report = self.reports.as_ref().map_or(Time::MAX, |reports| reports.next());
+        let report = self.reports.as_ref().map_or(Time::MAX, |reports| reports.next_timeout());
         self.replica.next_timeout().min(self.next_job_timeout()).min(report)
     }
 
--- a/crates/coordinator/src/shard_founding.rs
+++ b/crates/coordinator/src/shard_founding.rs
@@ -63,7 +63,7 @@
         let staying = control.stores.values().filter(|store| !store.is_retiring());
         let stores: Vec<Member> = staying.map(|store| store.member.clone()).collect();
         let missing: Vec<u16> =
-            (1..=BATCH_SHARDS).filter(|number| !control.groups.contains_key(number)).collect();
+            (1..=BATCH_SHARDS).filter(|number| !control.replica_sets.contains_key(number)).collect();
         if missing.is_empty() || stores.len() < min {
             return;
         }
@@ -72,7 +72,7 @@
             return;
         }
         let mut placed = PlacedReplicas::default();
-        control.groups.values().for_each(|set| placed.add(&set.members));
+        control.replica_sets.values().for_each(|set| placed.add(&set.members));
         for number in missing {
             let members = placed.next_replica_set(&stores, number, target);
             placed.add(&members);
--- a/crates/coordinator/src/state_machine.rs
+++ b/crates/coordinator/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of a part: what it is handed by the part's replica, and its state, read and restored piece by piece.
+//! The state machine of a shard: what it is handed by the shard's replica, and its state, read and restored chunk by chunk.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::CONTROL;
 use crate::control::Control;
 
-/// Bytes of a piece of the configuration part's snapshot: as much as a message of a group has.
+/// Bytes of a chunk of the configuration part's snapshot: as much as a message of a replica set has.
 const CHUNK_BYTES: usize = 128 << 10;
 
 quick_error! {
@@ -19,7 +19,7 @@
     pub enum RestoreError {
         /// No state was begun.
         NotBegun { display("no state was begun") }
-        /// The pieces are none of such a state machine's.
+        /// The chunks are none of such a state machine's.
         Malformed { display("not a snapshot of this state machine") }
     }
 }
@@ -34,11 +34,11 @@
 pub(crate) enum Restoring {
     /// Small enough to be read at once, when all of it is there.
     Control(BytesMut),
-    /// The first piece is the ledger, the others are the register's.
+    /// The first chunk is the quota ledger, the others are the job table's.
     BatchJobs(Option<QuotaLedger>, Box<JobTableRestore>),
 }
 
-/// The state of a part of batch jobs as the replica reads it: the ledger in one piece, and the register's pieces.
+/// The state of a shard of batch jobs as the replica reads it: the quota ledger in one chunk, and the job table's chunks.
 struct BatchShardSource {
     quota_ledger: Bytes,
     register: JobTableSnapshot,
@@ -62,7 +62,7 @@
 }
 
 impl StateMachine {
-    /// A part's state machine that has applied nothing.
+    /// A shard's state machine that has applied nothing.
     pub fn empty(shard: u16) -> Self {
         if shard == CONTROL {
             StateMachine::Control(Control::default())
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Its state and the ledger's as of now, to be read piece by piece later on.
+    /// Its state and the quota ledger's as of now, to be read chunk by chunk later on.
     pub fn snapshot_source(&self, quota_ledger: &QuotaLedger) -> Arc<dyn SnapshotSource> {
         match self {
             StateMachine::Control(control) => Arc::new(InMemoryState::new(control.snapshot(), CHUNK_BYTES)),
@@ -92,7 +92,7 @@
 }
 
 impl Restoring {
-    /// Takes the next piece.
+    /// Takes the next chunk.
     ///
     /// # Errors
     /// Where it cannot be one.
@@ -112,7 +112,7 @@
     /// The state that was built, to be put in place of the one in force.
     ///
     /// # Errors
-    /// Where the pieces are none of such a state machine's.
+    /// Where the chunks are none of such a state machine's.
     pub fn finish(self) -> Result<(StateMachine, QuotaLedger), RestoreError> {
         match self {
             Restoring::Control(bytes) => {
--- a/crates/coordinator/tests/format.rs
+++ b/crates/coordinator/tests/format.rs
@@ -157,8 +157,8 @@
     assert_eq!(control.stores.keys().collect::<Vec<_>>(), ["storage-4", "storage-5", "storage-6"]);
     assert_eq!((control.stores["storage-4"].retirement, control.retirements()), (1, 1));
     assert_eq!(control.stores["storage-5"].member.id, 77);
-    assert_eq!(control.groups[&1].founding, group(&[4, 5, 6]));
-    assert_eq!(control.groups[&1].members, group(&[5, 6]));
+    assert_eq!(control.replica_sets[&1].founding, group(&[4, 5, 6]));
+    assert_eq!(control.replica_sets[&1].members, group(&[5, 6]));
     assert!(control.is_fenced(member(4).id) && control.is_fenced(member(5).id));
 }
 
