--- a/crates/registry/src/gossip.rs
+++ b/crates/registry/src/gossip.rs
@@ -3,7 +3,7 @@
 //! Every process has a copy. Updates spread by rumor mongering, as epidemic protocols do (Demers et al., *Epidemic algorithms for
 //! replicated database maintenance*, 1987): the process that learns of one [publishes](Gossip::publish_worker) it to several
 //! peers, these forward it to others, and it is retransmitted to peers that have not acknowledged it. What is lost all the same
-//! is found by anti-entropy: [digests](crate::wire::Digest) of two copies are compared periodically, and each side sends what the
+//! is found by anti-entropy: digests of two copies are compared periodically, and each side sends what the
 //! other lacks. Workers that are gone leave tombstones (death certificates) for a while, so that older updates do not bring them
 //! back.
 //!
@@ -58,7 +58,7 @@
 /// How many of the live peers are known to have an update, by their acknowledgements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Coverage {
-    /// Peers that have said that they have it, or something newer.
+    /// Peers that have acknowledged it, or something newer.
     pub acknowledged: usize,
     /// All live peers.
     pub peers: usize,
@@ -160,14 +160,14 @@
         self.workers.values().filter(|entry| !entry.is_delisted).map(|entry| &entry.worker)
     }
 
-    /// How many peers have said that they have this version of a document or a newer one.
+    /// How many peers have acknowledged this version of a document or a newer one.
     pub fn document_coverage(&self, kind: u8, version: u64) -> Coverage {
         let has = |peer: &&SocketAddr| self.peer_versions.get(&(kind, **peer)).is_some_and(|v| *v >= version);
         Coverage { acknowledged: self.peers.iter().filter(has).count(), peers: self.peers.len() }
     }
 
-    /// How many peers have said that they have the last update of a worker that was published here; known for a minute. No peer
-    /// counts for an update that was not published here.
+    /// How many peers have acknowledged the last update of a worker that was published here; known for a minute. No peer counts
+    /// for an update that was not published here.
     pub fn worker_coverage(&self, id: &str) -> Coverage {
         let peers = self.peers.len();
         let acknowledged = match self.pending.get(&Subject::worker(id)) {
--- a/crates/tier/src/listings.rs
+++ b/crates/tier/src/listings.rs
@@ -141,8 +141,8 @@
             zone: m.zone,
             role: m.role.to_owned(),
             standing: m.standing.to_owned(),
-            peer: m.peer.to_string(),
-            control: m.control.map(|at| at.to_string()),
+            peer: m.peer_address.to_string(),
+            control: m.control_address.map(|at| at.to_string()),
             for_ms: m.for_ms,
         };
         Members { members: coordinator.list_members().into_iter().map(member).collect() }
@@ -209,9 +209,9 @@
         let store = |s: StoreListing| Store {
             name: s.name,
             zone: s.zone,
-            peer: s.peer.to_string(),
+            peer: s.peer_address.to_string(),
             standing: s.standing.to_owned(),
-            is_retiring: s.retiring,
+            is_retiring: s.is_retiring,
             shards: s.shards,
         };
         Stores { stores: coordinator.list_stores().into_iter().map(store).collect() }
@@ -237,7 +237,7 @@
     fn collect(coordinator: &Coordinator) -> Self {
         let shard = |s: ShardListing| Shard {
             number: s.number,
-            contents: s.holds.to_owned(),
+            contents: s.content.to_owned(),
             leader: s.leader,
             members: s.members,
             term: s.term,
