--- a/crates/tier/tests/peers.rs
+++ b/crates/tier/tests/peers.rs
@@ -39,11 +39,11 @@
 /// Whole frames out of so many bytes of a connection; it is then reset.
 async fn some_of(mut stream: TcpStream, most: usize) -> Vec<u64> {
     let mut buffer = BytesMut::new();
-    let mut handler = 0;
-    while handler < most {
+    let mut received_bytes = 0;
+    while received_bytes < most {
         let read = timeout(Duration::from_millis(300), stream.read_buf(&mut buffer)).await;
         let Ok(Ok(read @ 1..)) = read else { break };
-        handler += read;
+        received_bytes += read;
     }
     stream.set_zero_linger().unwrap();
     let mut frames = buffer.split_off(HELLO);
@@ -106,11 +106,11 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let to = listener.local_addr().unwrap();
         let lengths = Rc::new(std::cell::RefCell::new(Vec::new()));
-        let handler = lengths.clone();
+        let recorded = lengths.clone();
         let receiver = Peers::new(to);
         spawn_local(receiver.listen(
             listener,
-            Rc::new(move |_: SocketAddr, bytes: Bytes| handler.borrow_mut().push(bytes.len())),
+            Rc::new(move |_: SocketAddr, bytes: Bytes| recorded.borrow_mut().push(bytes.len())),
         ));
         let sending = Peers::new("127.0.0.1:1".parse().unwrap());
         for length in [100_000, LONGEST - 8, 100_000] {
