--- a/crates/coordinator/tests/spoken.rs
+++ b/crates/coordinator/tests/spoken.rs
@@ -29,21 +29,10 @@
     "Relay",
 ];
 
-/// The name before the fields, by the fixture's own labels where the code's name is a later one: the bytes are compared as they are.
+/// The variant's name: what stands before its fields.
 fn name(of: &impl std::fmt::Debug) -> String {
     let text = format!("{of:?}");
-    let name = text.split([' ', '{']).next().unwrap_or_default();
-    let label = match name {
-        "Consensus" => "Group",
-        "Call" => "Ask",
-        "NotLeader" => "Elsewhere",
-        "RetirementStatus" => "Retiring",
-        "RegisterStore" => "Shelve",
-        "ReportReplicaSet" => "Seated",
-        "ReportUsage" => "Settle",
-        name => name,
-    };
-    label.to_owned()
+    text.split([' ', '{']).next().unwrap_or_default().to_owned()
 }
 
 fn frame_line(bytes: &Bytes) -> (String, Bytes) {
