--- a/crates/consensus/src/wire/message.rs
+++ b/crates/consensus/src/wire/message.rs
@@ -176,11 +176,17 @@
     let from = Member::try_from(header.from)?;
     let term = header.term;
     check_bounds(&[term])?;
-    let body = decode_body(header.body, term, bytes.slice_ref(rest))?;
+    let body = decode_body(header.body, term, bytes, rest)?;
     Ok(Message { to: header.to, from, term, body })
 }
 
-fn decode_body(layout: BodyLayout, message_term: Term, bulk: Bytes) -> Result<Body, DecodeError> {
+/// The body of a message of these bytes, which end in `bulk`.
+fn decode_body(
+    layout: BodyLayout,
+    message_term: Term,
+    bytes: &Bytes,
+    bulk: &[u8],
+) -> Result<Body, DecodeError> {
     Ok(match layout {
         BodyLayout::RequestVote { is_pre_vote, for_term, last_index, last_term } => {
             check_bounds(&[for_term, last_index, last_term])?;
@@ -199,7 +205,7 @@
         BodyLayout::AppendEntries { read_round, prev_index, prev_term, commit_index, entries, .. } => {
             check_bounds(&[prev_index, prev_term, commit_index])?;
             let prev = LogPosition { term: prev_term, index: prev_index };
-            let entries = decode_entries(prev_term, message_term, &entries, bulk)?;
+            let entries = decode_entries(prev_term, message_term, &entries, bytes.slice_ref(bulk))?;
             Body::AppendEntries(AppendEntries { read_round, prev, commit_index, entries })
         }
         BodyLayout::AppendAccepted { read_round, matched_index, is_replica_set_committed } => {
@@ -222,9 +228,9 @@
             replica_set_len,
         } => {
             check_bounds(&[index, term])?;
-            let replica_set_len = to_usize(replica_set_len);
-            let replica_set =
-                bulk.get(..replica_set_len).ok_or(DecodeError::Malformed("a snapshot's group"))?;
+            let (replica_set, record) = bulk
+                .split_at_checked(to_usize(replica_set_len))
+                .ok_or(DecodeError::Malformed("a snapshot's group"))?;
             Body::InstallSnapshot(SnapshotChunk {
                 read_round,
                 position: LogPosition { term, index },
@@ -232,7 +238,7 @@
                 source,
                 chunk_count,
                 number,
-                record: check_chunk_record(bulk.slice(replica_set_len..), chunk_count, number)?,
+                record: check_chunk_record(bytes.slice_ref(record), chunk_count, number)?,
             })
         }
         BodyLayout::SnapshotChunkWanted { read_round, source, number } => {
