--- a/crates/registry/tests/common/mod.rs
+++ b/crates/registry/tests/common/mod.rs
@@ -44,7 +44,7 @@
 pub struct Effects {
     pub sent: Vec<(SocketAddr, Bytes)>,
     pub workers: Vec<Worker>,
-    pub texts: Vec<(u8, u64)>,
+    pub documents: Vec<(u8, u64)>,
 }
 
 impl Outgoing for Effects {
@@ -54,8 +54,8 @@
     fn worker_changed(&mut self, worker: &Worker) {
         self.workers.push(worker.clone());
     }
-    fn document_changed(&mut self, kind: u8, version: u64, _text: &Bytes) {
-        self.texts.push((kind, version));
+    fn document_changed(&mut self, kind: u8, version: u64, _content: &Bytes) {
+        self.documents.push((kind, version));
     }
 }
 
@@ -147,7 +147,7 @@
         for worker in effects.workers {
             self.members[n].phases.insert(worker.id, worker.phase);
         }
-        for (kind, version) in effects.texts {
+        for (kind, version) in effects.documents {
             self.members[n].versions.entry(kind).or_default().push(version);
         }
         for (to, bytes) in effects.sent {
@@ -221,16 +221,16 @@
         }
     }
 
-    pub fn worker(&mut self, n: usize, worker: Worker) -> bool {
+    pub fn publish_worker(&mut self, n: usize, worker: Worker) -> bool {
         self.with_member(n, |b, now, out| b.publish_worker(now, worker, out))
     }
 
-    pub fn text(&mut self, n: usize, version: u64, text: &Bytes) -> bool {
-        self.publish_document(n, CONFIGURATION, version, text)
+    pub fn publish_configuration(&mut self, n: usize, version: u64, content: &Bytes) -> bool {
+        self.publish_document(n, CONFIGURATION, version, content)
     }
 
-    pub fn publish_document(&mut self, n: usize, kind: u8, version: u64, text: &Bytes) -> bool {
-        self.with_member(n, |b, now, out| b.publish_document(now, kind, version, text.clone(), out))
+    pub fn publish_document(&mut self, n: usize, kind: u8, version: u64, content: &Bytes) -> bool {
+        self.with_member(n, |b, now, out| b.publish_document(now, kind, version, content.clone(), out))
     }
 
     /// A member loses all that it knows, and catches up with the others.
--- a/crates/registry/tests/gossip.rs
+++ b/crates/registry/tests/gossip.rs
@@ -17,7 +17,7 @@
 fn check_drain(size: usize, loss: f64, bound: Time) {
     let mut fleet = Fleet::new(size, 7);
     for n in 0..60 {
-        fleet.worker(n % size, worker(n, Phase::Ready, 1));
+        fleet.publish_worker(n % size, worker(n, Phase::Ready, 1));
     }
     fleet.run(5 * SECOND);
     assert!(fleet.gossips.iter().all(|b| b.workers().count() == 60));
@@ -25,7 +25,7 @@
     for member in &mut fleet.members {
         (member.sent, member.received, member.messages) = (0, 0, 0);
     }
-    assert!(fleet.worker(0, worker(3, Phase::Draining, 2)));
+    assert!(fleet.publish_worker(0, worker(3, Phase::Draining, 2)));
     let took = fleet.until(20 * SECOND, |b| phase_of(b, 3) == Some(Phase::Draining)).unwrap();
     fleet.run(4 * SECOND);
     let coverage = fleet.gossips[0].worker_coverage("i-3");
@@ -73,8 +73,8 @@
     for loss in [0.0, 0.3] {
         let mut fleet = Fleet::new(30, 5);
         fleet.loss = loss;
-        assert!(fleet.text(4, 9, &text));
-        assert!(!fleet.text(4, 9, &text) && !fleet.text(4, 8, &text));
+        assert!(fleet.publish_configuration(4, 9, &text));
+        assert!(!fleet.publish_configuration(4, 9, &text) && !fleet.publish_configuration(4, 8, &text));
         let took = fleet.until(10 * SECOND, |b| b.document(CONFIGURATION) == Some((9, &text))).unwrap();
         fleet.loss = 0.0;
         fleet.run(6 * SECOND);
@@ -101,8 +101,8 @@
         let mut fleet = Fleet::new(size, 3);
         fleet.run(3 * SECOND);
         fleet.loss = 1.0;
-        fleet.worker(0, worker(1, Phase::Ready, 1));
-        fleet.text(1, 2, &Bytes::from_static(b"two"));
+        fleet.publish_worker(0, worker(1, Phase::Ready, 1));
+        fleet.publish_configuration(1, 2, &Bytes::from_static(b"two"));
         fleet.run(10 * SECOND);
         assert_eq!(phase_of(&fleet.gossips[2], 1), None);
         // When links work again, then digests bring it.
@@ -119,22 +119,22 @@
     for is_suspended in [false, true] {
         let mut fleet = Fleet::new(14, 2);
         for n in 0..100 {
-            fleet.worker(n % 14, worker(n, Phase::Ready, 1));
+            fleet.publish_worker(n % 14, worker(n, Phase::Ready, 1));
         }
         fleet.run(5 * SECOND);
         fleet.members[5].is_isolated = !is_suspended;
         fleet.members[5].is_suspended = is_suspended;
         for n in 0..20 {
-            fleet.worker(0, worker(n, Phase::Draining, 2));
+            fleet.publish_worker(0, worker(n, Phase::Draining, 2));
         }
-        fleet.text(0, 3, &Bytes::from_static(b"three"));
+        fleet.publish_configuration(0, 3, &Bytes::from_static(b"three"));
         fleet.run(10 * SECOND);
         assert_eq!(phase_of(&fleet.gossips[5], 3), Some(Phase::Ready));
         (fleet.members[5].is_isolated, fleet.members[5].is_suspended) = (false, false);
         if !is_suspended {
             // The isolated member got an update of its own.
             fleet.members[5].is_isolated = true;
-            fleet.worker(5, worker(300, Phase::Ready, 1));
+            fleet.publish_worker(5, worker(300, Phase::Ready, 1));
             fleet.run(SECOND);
             fleet.members[5].is_isolated = false;
         }
@@ -157,55 +157,58 @@
 #[test]
 fn given_heartbeats_that_change_nothing_then_they_are_not_published() {
     let mut fleet = Fleet::new(5, 4);
-    assert!(fleet.worker(0, worker(1, Phase::Ready, 1)));
+    assert!(fleet.publish_worker(0, worker(1, Phase::Ready, 1)));
     fleet.run(5 * SECOND);
     let before = fleet.members[0].messages;
     for seq in 2..100 {
-        assert!(!fleet.worker(0, worker(1, Phase::Ready, seq)));
+        assert!(!fleet.publish_worker(0, worker(1, Phase::Ready, seq)));
     }
     assert_eq!(fleet.members[0].messages, before);
     // An old heartbeat is no update either, and digests do not cover heartbeats: no differences are sent.
-    assert!(!fleet.worker(0, worker(1, Phase::Draining, 50)));
+    assert!(!fleet.publish_worker(0, worker(1, Phase::Draining, 50)));
     fleet.members.iter_mut().for_each(|m| m.messages = 0);
     fleet.run(20 * SECOND);
     let messages: usize = fleet.members.iter().map(|m| m.messages).sum();
     assert!(messages <= 5 * 13, "{messages}");
     // A change of the address is an update, and so are draining and the end.
     let moved = Worker { address: "10.8.8.8:1".parse().unwrap(), ..worker(1, Phase::Ready, 100) };
-    assert!(fleet.worker(1, moved.clone()));
+    assert!(fleet.publish_worker(1, moved.clone()));
     fleet.run(SECOND);
     assert!(fleet.gossips.iter().all(|b| b.workers().all(|w| w.address == moved.address)));
-    assert!(fleet.worker(1, worker(1, Phase::Draining, 101)) && fleet.worker(2, worker(1, Phase::Gone, 101)));
+    assert!(
+        fleet.publish_worker(1, worker(1, Phase::Draining, 101))
+            && fleet.publish_worker(2, worker(1, Phase::Gone, 101))
+    );
 }
 
 #[test]
 fn given_an_unresponsive_worker_then_its_next_heartbeat_restores_it_and_else_it_is_delisted() {
     let mut fleet = Fleet::new(5, 6);
-    fleet.worker(0, worker(1, Phase::Ready, 1));
-    fleet.worker(0, worker(2, Phase::Ready, 1));
-    assert!(!fleet.worker(0, worker(1, Phase::Ready, 10)));
+    fleet.publish_worker(0, worker(1, Phase::Ready, 1));
+    fleet.publish_worker(0, worker(2, Phase::Ready, 1));
+    assert!(!fleet.publish_worker(0, worker(1, Phase::Ready, 10)));
     fleet.run(SECOND);
     // Its heartbeats go on at another member. The first does not know that and declares it unresponsive: the other corrects that.
-    assert!(!fleet.worker(3, worker(1, Phase::Ready, 12)));
-    assert!(fleet.worker(0, worker(1, Phase::Unresponsive, 10)));
+    assert!(!fleet.publish_worker(3, worker(1, Phase::Ready, 12)));
+    assert!(fleet.publish_worker(0, worker(1, Phase::Unresponsive, 10)));
     fleet.run(SECOND);
     assert!(fleet.gossips.iter().all(|b| phase_of(b, 1) == Some(Phase::Ready)));
     // Unresponsive since its newest heartbeat, it is so for all until the next.
-    assert!(fleet.worker(0, worker(2, Phase::Unresponsive, 1)));
+    assert!(fleet.publish_worker(0, worker(2, Phase::Unresponsive, 1)));
     fleet.run(SECOND);
     assert!(fleet.gossips.iter().all(|b| phase_of(b, 2) == Some(Phase::Unresponsive)));
-    assert!(fleet.worker(4, worker(2, Phase::Ready, 2)));
+    assert!(fleet.publish_worker(4, worker(2, Phase::Ready, 2)));
     fleet.run(SECOND);
     assert!(fleet.gossips.iter().all(|b| phase_of(b, 2) == Some(Phase::Ready)));
     // After a minute it is delisted everywhere, and does not come back by digests.
-    fleet.worker(1, worker(2, Phase::Unresponsive, 2));
+    fleet.publish_worker(1, worker(2, Phase::Unresponsive, 2));
     fleet.run(62 * SECOND);
     assert!(fleet.gossips.iter().all(|b| phase_of(b, 2).is_none()));
     assert!(fleet.members.iter().all(|m| m.phases["i-2"] == Phase::Gone));
     fleet.run(120 * SECOND);
     assert!(fleet.gossips.iter().all(|b| phase_of(b, 2).is_none() && phase_of(b, 1).is_some()));
     // A worker on the other side of a long partition comes back by its next heartbeat.
-    assert!(fleet.worker(1, worker(2, Phase::Ready, 90)));
+    assert!(fleet.publish_worker(1, worker(2, Phase::Ready, 90)));
     fleet.run(SECOND);
     assert!(fleet.gossips.iter().all(|b| phase_of(b, 2) == Some(Phase::Ready)));
 }
@@ -213,15 +216,15 @@
 #[test]
 fn given_a_tombstone_then_old_heartbeats_are_ignored_for_a_minute() {
     let mut fleet = Fleet::new(14, 8);
-    fleet.worker(0, worker(1, Phase::Ready, 5));
+    fleet.publish_worker(0, worker(1, Phase::Ready, 5));
     fleet.run(SECOND);
     fleet.members[9].is_isolated = true;
-    fleet.worker(0, worker(1, Phase::Gone, 6));
+    fleet.publish_worker(0, worker(1, Phase::Gone, 6));
     fleet.run(SECOND);
     assert!(fleet.members.iter().enumerate().all(|(n, m)| n == 9 || m.phases["i-1"] == Phase::Gone));
     for seq in [5, 6, 7, 90] {
-        assert!(!fleet.worker(3, worker(1, Phase::Ready, seq)));
-        assert!(!fleet.worker(3, worker(1, Phase::Draining, seq)));
+        assert!(!fleet.publish_worker(3, worker(1, Phase::Ready, seq)));
+        assert!(!fleet.publish_worker(3, worker(1, Phase::Draining, seq)));
     }
     // A member that still has it as ready does not bring it back, but learns of its end.
     fleet.run(20 * SECOND);
@@ -242,8 +245,8 @@
 fn given_a_process_that_is_no_peer_then_it_does_not_count() {
     let mut fleet = Fleet::new(3, 9);
     fleet.members[2].is_isolated = true;
-    fleet.worker(0, worker(1, Phase::Draining, 1));
-    fleet.text(0, 1, &Bytes::from_static(b"one"));
+    fleet.publish_worker(0, worker(1, Phase::Draining, 1));
+    fleet.publish_configuration(0, 1, &Bytes::from_static(b"one"));
     fleet.run(2 * SECOND);
     assert_eq!(fleet.gossips[0].worker_coverage("i-1"), Coverage { acknowledged: 1, peers: 2 });
     assert_eq!(fleet.gossips[0].document_coverage(CONFIGURATION, 1), Coverage { acknowledged: 1, peers: 2 });
@@ -258,7 +261,7 @@
 #[test]
 fn given_a_name_that_is_too_long_then_its_worker_is_refused() {
     let mut fleet = Fleet::new(2, 1);
-    assert!(!fleet.worker(0, Worker { zone: "z".repeat(257), ..worker(1, Phase::Ready, 1) }));
+    assert!(!fleet.publish_worker(0, Worker { zone: "z".repeat(257), ..worker(1, Phase::Ready, 1) }));
     assert_eq!(fleet.gossips[0].workers().count(), 0);
 }
 
@@ -268,7 +271,7 @@
     for workers in [10, 1_000] {
         let mut fleet = Fleet::new(3, 1);
         for n in 0..workers {
-            fleet.worker(0, worker(n, Phase::Ready, 1));
+            fleet.publish_worker(0, worker(n, Phase::Ready, 1));
         }
         fleet.run(90 * SECOND);
         fleet.members.iter_mut().for_each(|m| (m.sent, m.messages) = (0, 0));
@@ -370,9 +373,9 @@
         let mut fleet = Fleet::new(size, seed.into());
         fleet.loss = 0.4;
         for statement in &statements {
-            fleet.worker(statement.member % size, worker(statement.worker, statement.phase, statement.call_seq));
+            fleet.publish_worker(statement.member % size, worker(statement.worker, statement.phase, statement.call_seq));
             if statement.phase == Phase::Ready {
-                fleet.text(statement.member % size, statement.call_seq, &Bytes::from(statement.call_seq.to_string()));
+                fleet.publish_configuration(statement.member % size, statement.call_seq, &Bytes::from(statement.call_seq.to_string()));
             }
             fleet.run(statement.pause_ms * MS);
         }
