--- a/crates/coordinator/src/batch_shard.rs
+++ b/crates/coordinator/src/batch_shard.rs
@@ -36,9 +36,9 @@
         if let Some(submission) = shard.submissions.get_mut(&job) {
             return submission.origins.push(origin);
         }
-        let Some(register) = shard.register() else { return };
+        let Some(job_table) = shard.job_table() else { return };
         // What is in the job table is committed, whoever leads now.
-        if register.contains_job(&job) {
+        if job_table.contains_job(&job) {
             return self.reply(origin, Answer::json(202, "{}"));
         }
         let Some(configuration) = &self.configuration else {
@@ -80,8 +80,8 @@
     /// Ends a job at its client's request.
     pub(crate) fn end_job(&mut self, number: u16, origin: Origin, job: String) {
         let wall = self.now.wall;
-        let Some(register) = self.shards.get(&number).and_then(|p| p.register()) else { return };
-        if !register.contains_job(&job) {
+        let Some(job_table) = self.shards.get(&number).and_then(|p| p.job_table()) else { return };
+        if !job_table.contains_job(&job) {
             // Only a read index round makes sure of that.
             return self.begin_read(number, origin, ReadQuery::Body { job, item: String::new() });
         }
@@ -92,11 +92,11 @@
     pub(crate) fn answer_job_read(&mut self, number: u16, poll: Poll) {
         let now = self.now.steady;
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        let Some(register) = shard.register() else { return };
-        if poll.until > now && register.has_output(&poll.job, poll.since) == Some(false) {
+        let Some(job_table) = shard.job_table() else { return };
+        if poll.until > now && job_table.has_output(&poll.job, poll.since) == Some(false) {
             return shard.waiting.add_poll(poll);
         }
-        let page = register.read_outputs(&poll.job, poll.since);
+        let page = job_table.read_outputs(&poll.job, poll.since);
         let answer = page.map_or(Answer::with_status(404), |page| Answer::json(200, page.json));
         self.reply(poll.origin, answer);
     }
@@ -104,30 +104,30 @@
     /// Applies a committed command of a shard of batch jobs; `proposal` is who waits for it.
     pub(crate) fn apply_batch_command(&mut self, number: u16, bytes: &Bytes, proposal: Option<ProposalFate>) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        let StateMachine::BatchJobs(register) = &mut shard.state_machine else { return };
+        let StateMachine::BatchJobs(job_table) = &mut shard.state_machine else { return };
         let Ok(command) = Command::decode(bytes) else {
             return self.violated(Invariant::CommandRead, &format_args!("part {number}"));
         };
         if let Some(booked) = shard.quota_ledger.apply(&command) {
             return self.finish_ledger_command(number, booked, proposal);
         }
-        let applied = register.apply(&command);
+        let applied = job_table.apply(&command);
         let others = match &command {
             Command::Submit { job, .. } => shard.submissions.remove(job).map_or(Vec::new(), |s| s.origins),
             _ => Vec::new(),
         };
         if let Some(reports) = &mut shard.reports {
-            reports.applied(register, &command);
+            reports.applied(job_table, &command);
         }
         if let Some(schedule) = &mut shard.schedule {
-            schedule.handle_applied(register, &command, applied);
+            schedule.handle_applied(job_table, &command, applied);
         }
         if let (Command::FinishItem { job, .. }, Applied::ItemFinished { .. }) = (&command, applied) {
             let has_output =
-                |poll: &Poll| poll.job == *job && register.has_output(job, poll.since) == Some(true);
+                |poll: &Poll| poll.job == *job && job_table.has_output(job, poll.since) == Some(true);
             let ready = shard.waiting.take_polls(has_output).into_iter();
             let ready: Vec<(Origin, String)> = ready
-                .filter_map(|poll| Some((poll.origin, register.read_outputs(&poll.job, poll.since)?.json)))
+                .filter_map(|poll| Some((poll.origin, job_table.read_outputs(&poll.job, poll.since)?.json)))
                 .collect();
             for (origin, text) in ready {
                 self.reply(origin, Answer::json(200, text));
@@ -187,13 +187,13 @@
             return;
         }
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        let (StateMachine::BatchJobs(register), Some(schedule)) =
+        let (StateMachine::BatchJobs(job_table), Some(schedule)) =
             (&shard.state_machine, shard.schedule.as_mut())
         else {
             return;
         };
         if schedule.running_count() < MAX_RUNNING_ITEMS
-            && let Some(next) = schedule.start_next(register, wall)
+            && let Some(next) = schedule.start_next(job_table, wall)
         {
             self.effects.push(Effect::RunItem { shard: number, next });
             // One at a time: the next one is started once this one has found its worker.
@@ -205,7 +205,7 @@
     fn finish_overdue_items(&mut self, number: u16) {
         let (now, wall) = (self.now.steady, self.now.wall);
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        let (StateMachine::BatchJobs(register), Some(schedule)) =
+        let (StateMachine::BatchJobs(job_table), Some(schedule)) =
             (&shard.state_machine, shard.schedule.as_mut())
         else {
             return;
@@ -215,8 +215,8 @@
         }
         let forget = now / FORGET_INTERVAL != shard.last_sweep / FORGET_INTERVAL;
         shard.last_sweep = now;
-        let mut commands = schedule.take_proposals(register, wall);
-        if forget && register.memory_bytes() > 0 {
+        let mut commands = schedule.take_proposals(job_table, wall);
+        if forget && job_table.memory_bytes() > 0 {
             commands.push(Command::Forget { before: wall - self.info.job_retention });
         }
         self.propose_unattended(number, commands);
@@ -231,10 +231,10 @@
         for command in commands {
             let proposed = shard.replica.propose(self.now.steady, command.encode());
             if proposed.is_err()
-                && let (StateMachine::BatchJobs(register), Some(schedule)) =
+                && let (StateMachine::BatchJobs(job_table), Some(schedule)) =
                     (&shard.state_machine, shard.schedule.as_mut())
             {
-                schedule.requeue_refused(register, command);
+                schedule.requeue_refused(job_table, command);
             }
         }
         self.process_output(number);
@@ -251,7 +251,7 @@
     ) {
         let (now, wall) = (self.now.steady, self.now.wall);
         let Some(shard) = self.shards.get_mut(&number) else { return };
-        let (StateMachine::BatchJobs(register), Some(schedule)) =
+        let (StateMachine::BatchJobs(job_table), Some(schedule)) =
             (&shard.state_machine, shard.schedule.as_mut())
         else {
             return;
@@ -259,7 +259,7 @@
         if end == RunOutcome::NoCapacity {
             shard.next_item_at = now + NO_CAPACITY_PAUSE;
         }
-        if let Some(command) = schedule.finish_run(register, wall, job, item, events, end) {
+        if let Some(command) = schedule.finish_run(job_table, wall, job, item, events, end) {
             self.propose_unattended(number, vec![command]);
         }
     }
--- a/crates/coordinator/src/quota.rs
+++ b/crates/coordinator/src/quota.rs
@@ -18,7 +18,8 @@
 use crate::waiting::ProposalFate;
 use crate::{Answer, Coordinator, Origin, shard_of_route};
 
-/// How long a batch job waits for its tokens. Less than its dispatcher waits for its part's leader, so that a refusal arrives.
+/// How long a batch job waits for its tokens. Less than its client's process waits for the job's leader, so that a
+/// refusal arrives.
 const RESERVATION_TIMEOUT: Time = 8 * SECOND / 10;
 /// How long a ledger's leader may wait for its replica set.
 const LEDGER_LEADER_WAIT: Time = SECOND / 5;
@@ -28,13 +29,14 @@
 const MAX_REPORT_INTERVAL: Time = 5 * SECOND;
 /// How long a report is attempted; then a newer one is made.
 const REPORT_TIMEOUT: Time = SECOND;
-/// Finished batch jobs of a route that are still to be told of, where its ledger cannot be reached. Those that are left out are
+/// Finished batch jobs of a route that are still to be reported, where its ledger cannot be reached. Those that are left out are
 /// released like reservations that came to nothing.
 const MAX_FINISHED: usize = 10_000;
-/// How long a batch job is reported of as finished whose reservation was not answered: it may be entered late.
+/// How long a batch job whose reservation was not answered is reported as finished: the reservation may be applied late.
 const LATE_RESERVATION_TIMEOUT: Time = 3 * SECOND;
-/// When to come back with a batch job that is over the quota, or whose ledger cannot be reached.
+/// When to come back with a batch job that is over the quota.
 const OVER_QUOTA_RETRY: Time = SECOND / 2;
+/// When to come back with a batch job whose quota ledger cannot be reached.
 const NO_LEDGER_RETRY: Time = SECOND / 2;
 
 /// A batch job that is not committed yet.
@@ -48,8 +50,9 @@
     stage: Stage,
 }
 
+/// How far a submission has come.
 enum Stage {
-    /// Its tokens are asked for; then the command is proposed.
+    /// Its tokens are being reserved; then the command is proposed.
     Reserving {
         command: Bytes,
     },
@@ -57,6 +60,7 @@
 }
 
 impl Submission {
+    /// A submission whose tokens are to be reserved before `command` is proposed.
     pub fn new(route: String, tokens: u64, bytes: u64, origin: Origin, command: Bytes) -> Self {
         Submission { bytes, origins: vec![origin], route, tokens, stage: Stage::Reserving { command } }
     }
@@ -89,6 +93,7 @@
     routes: BTreeMap<String, RouteReport>,
 }
 
+/// What is reported to one route's quota ledger.
 #[derive(Default)]
 struct RouteReport {
     /// Unfinished batch jobs with the tokens that wait.
@@ -96,9 +101,9 @@
     /// Batch jobs that have finished, or came to nothing, and until when each is reported of, once at least: maybe no report has named
     /// it while it was unfinished, or its reservation is still on its way.
     finished: BTreeMap<String, Time>,
-    /// Those of them that the last report told of.
+    /// Those of them that the last report named.
     reported_finished: Vec<String>,
-    /// There is something that no report has told.
+    /// There is something that no report has named.
     is_changed: bool,
     /// The last report is not answered yet.
     is_under_way: bool,
@@ -149,15 +154,15 @@
 }
 
 impl UsageReports {
-    /// Of a leader that has just been elected: all is to be told, also of batch jobs that finished under the leader before and that
+    /// Of a leader that has just been elected: all is to be reported, also of batch jobs that finished under the leader before and that
     /// no report may have named.
-    pub fn new(register: &JobTable, term: u64, wall: Time) -> Self {
+    pub fn new(job_table: &JobTable, term: u64, wall: Time) -> Self {
         let mut reports =
             UsageReports { last: UsageReportNumber { term, sequence: 0 }, routes: BTreeMap::new() };
-        for OpenJob { id, route, waiting_tokens } in register.open_jobs() {
+        for OpenJob { id, route, waiting_tokens } in job_table.open_jobs() {
             reports.route(route).open.insert(id.to_owned(), waiting_tokens);
         }
-        for (route, job) in register.closed_jobs_since(wall - 2 * RESERVATION_GRACE) {
+        for (route, job) in job_table.closed_jobs_since(wall - 2 * RESERVATION_GRACE) {
             reports.route(route).add_finished(job, 0);
         }
         reports
@@ -181,13 +186,13 @@
     }
 
     /// After a command was applied to the job table.
-    pub fn applied(&mut self, register: &JobTable, command: &Command) {
+    pub fn applied(&mut self, job_table: &JobTable, command: &Command) {
         let (Command::Submit { job, .. } | Command::FinishItem { job, .. } | Command::End { job, .. }) =
             command
         else {
             return;
         };
-        if let Some(OpenJob { route, waiting_tokens: tokens, .. }) = register.open_job(job) {
+        if let Some(OpenJob { route, waiting_tokens: tokens, .. }) = job_table.open_job(job) {
             let report = self.route(route);
             report.is_changed |= report.open.insert(job.clone(), tokens) != Some(tokens);
             return;
@@ -267,7 +272,7 @@
         self.reservation_answers.push_back(ReservationAnswer { shard, job, answer });
     }
 
-    /// Acts on the answers of ledgers. Not where they arrive: that may be in the midst of another part's commands.
+    /// Acts on the answers of ledgers. Not where they arrive: that may be in the midst of another shard's commands.
     pub(crate) fn finish_reservations(&mut self) {
         while let Some(ReservationAnswer { shard, job, answer }) = self.reservation_answers.pop_front() {
             if answer.status == 200 {
--- a/crates/coordinator/src/replica_settings.rs
+++ b/crates/coordinator/src/replica_settings.rs
@@ -12,13 +12,19 @@
 /// The settings of each replica of this process.
 pub(crate) fn replica_settings(info: &NodeInfo) -> Settings {
     Settings {
+        // A fraction of the election timeout, so that one lost message does not lead to an election (`docs/control.md`).
         heartbeat_interval: SECOND / 10,
+        // Drawn from there up to twice that: a lost leader is replaced within about a second, for which callers wait.
         election_timeout: 4 * SECOND / 10,
+        // As many disks as may be lost at once, and one more.
         min_replicas: info.tolerated_failures + 1,
-        // Of this are a few copies on the leader's link at once, one for each follower.
+        // The leader's link carries a few messages of this size at once, one for each follower; one that is not answered within a
+        // heartbeat is sent again, so it must be small beside what a link carries in that time (`docs/control-bounds.md`).
         max_message_bytes: 128 << 10,
+        // Large enough that rewrites are rare; the least is for disks so small that their share would mean constant rewriting, the most
+        // bounds what a restart reads.
         compaction_threshold_bytes: (info.disk_bytes / LOGS_PER_DISK).clamp(4 << 20, 256 << 20),
-        // A snapshot instead takes the room of a second copy at who lags.
+        // Memory of the leader; a follower that lacks more gets a snapshot, for which it needs the disk space of a second copy.
         max_lag_bytes: capacity::lag_bytes(info.disk_bytes),
     }
 }
--- a/crates/coordinator/src/replication.rs
+++ b/crates/coordinator/src/replication.rs
@@ -168,9 +168,9 @@
         let is_whole = !leads || shard.restoring.is_none();
         let term = shard.replica.term();
         if leads {
-            if let StateMachine::BatchJobs(register) = &shard.state_machine {
-                shard.schedule = Some(Schedule::new(register));
-                shard.reports = Some(UsageReports::new(register, term, self.now.wall));
+            if let StateMachine::BatchJobs(job_table) = &shard.state_machine {
+                shard.schedule = Some(Schedule::new(job_table));
+                shard.reports = Some(UsageReports::new(job_table, term, self.now.wall));
             }
             self.effects.push(Effect::Log("leads", format!("part {number}, term {term}")));
             self.check(Invariant::LeaderWhole, is_whole, || format!("part {number}, term {term}"));
--- a/crates/coordinator/src/serving.rs
+++ b/crates/coordinator/src/serving.rs
@@ -217,8 +217,8 @@
                 self.answer_job_read(number, Poll { origin, job, since, until })
             }
             ReadQuery::Body { job, item } => {
-                let Some(register) = self.shards.get(&number).and_then(|p| p.register()) else { return };
-                let body = register.item_body(&job, &item);
+                let Some(job_table) = self.shards.get(&number).and_then(|p| p.job_table()) else { return };
+                let body = job_table.item_body(&job, &item);
                 let answer =
                     body.map_or(Answer::with_status(404), |body| Answer { body, ..Answer::with_status(200) });
                 self.reply(origin, answer);
--- a/crates/coordinator/src/shard.rs
+++ b/crates/coordinator/src/shard.rs
@@ -123,9 +123,9 @@
     }
 
     /// The state of a shard of batch jobs.
-    pub fn register(&self) -> Option<&JobTable> {
+    pub fn job_table(&self) -> Option<&JobTable> {
         match &self.state_machine {
-            StateMachine::BatchJobs(register) => Some(register),
+            StateMachine::BatchJobs(job_table) => Some(job_table),
             StateMachine::Control(_) => None,
         }
     }
@@ -134,8 +134,8 @@
     pub fn log_use(&self) -> LogUsage {
         let length = self.disk.length;
         match &self.state_machine {
-            StateMachine::BatchJobs(register) => {
-                LogUsage { length, rewritten: register.memory_bytes() as u64, totals: register.totals() }
+            StateMachine::BatchJobs(job_table) => {
+                LogUsage { length, rewritten: job_table.memory_bytes() as u64, totals: job_table.totals() }
             }
             StateMachine::Control(control) => {
                 LogUsage { length, rewritten: control.size() as u64, ..LogUsage::default() }
@@ -154,8 +154,8 @@
             (name("term"), self.replica.term() as f64),
             (name("members"), self.replica.members().len() as f64),
         ];
-        if let Some(register) = self.register() {
-            metrics.push((name("bytes"), register.memory_bytes() as f64));
+        if let Some(job_table) = self.job_table() {
+            metrics.push((name("bytes"), job_table.memory_bytes() as f64));
             metrics.push((name("file_bytes"), self.disk.length as f64));
             metrics.push((name("tokens_counted"), self.quota_ledger.total_tokens() as f64));
         }
--- a/crates/coordinator/src/state_machine.rs
+++ b/crates/coordinator/src/state_machine.rs
@@ -1,4 +1,5 @@
-//! The state machine of a shard: what it is handed by the shard's replica, and its state, read and restored chunk by chunk.
+//! The state machine of a shard, to which the replica applies committed commands, and its snapshots, which are read and restored chunk
+//! by chunk so that no step handles a whole state at once.
 
 use std::sync::Arc;
 
@@ -10,27 +11,29 @@
 use crate::CONTROL;
 use crate::control::Control;
 
-/// Bytes of a chunk of the configuration part's snapshot: as much as a message of a replica set has.
+/// Bytes of a chunk of the configuration's snapshot: as much as a consensus message carries.
 const CHUNK_BYTES: usize = 128 << 10;
 
 quick_error! {
     /// Why a state could not be restored.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum RestoreError {
-        /// No state was begun.
+        /// A chunk came before a snapshot was begun.
         NotBegun { display("no state was begun") }
-        /// The chunks are none of such a state machine's.
+        /// The chunks are not a snapshot of this kind of state machine.
         Malformed { display("not a snapshot of this state machine") }
     }
 }
 
 /// The state machine in force.
 pub(crate) enum StateMachine {
+    /// Of the configuration's shard.
     Control(Control),
+    /// Of a shard of batch jobs; its quota ledger stands beside it, in the shard.
     BatchJobs(JobTable),
 }
 
-/// A state that is built beside the one in force.
+/// A state that is restored beside the one in force, which it replaces once it is complete.
 pub(crate) enum Restoring {
     /// Small enough to be read at once, when all of it is there.
     Control(BytesMut),
@@ -41,23 +44,23 @@
 /// The state of a shard of batch jobs as the replica reads it: the quota ledger in one chunk, and the job table's chunks.
 struct BatchShardSource {
     quota_ledger: Bytes,
-    register: JobTableSnapshot,
+    job_table: JobTableSnapshot,
 }
 
 impl SnapshotSource for BatchShardSource {
     fn chunks(&self) -> usize {
-        1 + self.register.chunk_count()
+        1 + self.job_table.chunk_count()
     }
 
     fn chunk(&self, number: usize) -> Bytes {
         match number.checked_sub(1) {
             None => self.quota_ledger.clone(),
-            Some(number) => self.register.chunk(number),
+            Some(number) => self.job_table.chunk(number),
         }
     }
 
     fn size(&self) -> u64 {
-        self.quota_ledger.len() as u64 + self.register.encoded_len()
+        self.quota_ledger.len() as u64 + self.job_table.encoded_len()
     }
 }
 
@@ -75,9 +78,9 @@
     pub fn snapshot_source(&self, quota_ledger: &QuotaLedger) -> Arc<dyn SnapshotSource> {
         match self {
             StateMachine::Control(control) => Arc::new(InMemoryState::new(control.snapshot(), CHUNK_BYTES)),
-            StateMachine::BatchJobs(register) => Arc::new(BatchShardSource {
+            StateMachine::BatchJobs(job_table) => Arc::new(BatchShardSource {
                 quota_ledger: quota_ledger.snapshot(),
-                register: register.snapshot(),
+                job_table: job_table.snapshot(),
             }),
         }
     }
@@ -95,15 +98,15 @@
     /// Takes the next chunk.
     ///
     /// # Errors
-    /// Where it cannot be one.
+    /// Where it is not a chunk of such a state.
     pub fn take(&mut self, chunk: &Bytes) -> Result<(), RestoreError> {
         match self {
             Restoring::Control(bytes) => bytes.extend_from_slice(chunk),
             Restoring::BatchJobs(quota_ledger @ None, _) => {
                 *quota_ledger = Some(QuotaLedger::restore(chunk).map_err(|_| RestoreError::Malformed)?);
             }
-            Restoring::BatchJobs(Some(_), register) => {
-                register.add_chunk(chunk).map_err(|_| RestoreError::Malformed)?;
+            Restoring::BatchJobs(Some(_), job_table) => {
+                job_table.add_chunk(chunk).map_err(|_| RestoreError::Malformed)?;
             }
         }
         Ok(())
@@ -112,17 +115,17 @@
     /// The state that was built, to be put in place of the one in force.
     ///
     /// # Errors
-    /// Where the chunks are none of such a state machine's.
+    /// Where the chunks are not a snapshot of this kind of state machine.
     pub fn finish(self) -> Result<(StateMachine, QuotaLedger), RestoreError> {
         match self {
             Restoring::Control(bytes) => {
                 let control = Control::restore(&bytes.freeze()).map_err(|_| RestoreError::Malformed)?;
                 Ok((StateMachine::Control(control), QuotaLedger::default()))
             }
-            Restoring::BatchJobs(quota_ledger, register) => {
+            Restoring::BatchJobs(quota_ledger, job_table) => {
                 let quota_ledger = quota_ledger.ok_or(RestoreError::Malformed)?;
-                let register = register.finish().map_err(|_| RestoreError::Malformed)?;
-                Ok((StateMachine::BatchJobs(register), quota_ledger))
+                let job_table = job_table.finish().map_err(|_| RestoreError::Malformed)?;
+                Ok((StateMachine::BatchJobs(job_table), quota_ledger))
             }
         }
     }
