--- a/crates/coordinator/src/shard.rs
+++ b/crates/coordinator/src/shard.rs
@@ -67,7 +67,7 @@
             state_machine: StateMachine::empty(number),
             restoring: None,
             quota_ledger: QuotaLedger::default(),
-            disk: ShardDisk::of(records),
+            disk: ShardDisk::with_records(records),
             is_snapshot_wanted: false,
             lost_membership_since: None,
             is_leader: false,
--- a/crates/wal/tests/records.rs
+++ b/crates/wal/tests/records.rs
@@ -235,7 +235,7 @@
     });
     writer.append(1, texts(&["a"]));
     assert_eq!(events.recv().unwrap().ticket, 1);
-    // The thread is held up now.
+    // The thread is blocked now.
     writer.append(2, texts(&["b"]));
     writer.append(3, texts(&["c", "d"]));
     writer.compact(4, texts(&["abcd"]), 0);
@@ -302,7 +302,7 @@
         let mut bytes = fs::read(&path).unwrap();
         let tail = bytes.len() - synced;
         for (from, to) in zeroed {
-            let offset_of = |part: f64| synced + (part * tail as f64) as usize;
+            let offset_of = |fraction: f64| synced + (fraction * tail as f64) as usize;
             let (from, to) = (offset_of(from), offset_of(to));
             bytes[from.min(to)..from.max(to)].fill(0);
         }
