--- a/crates/coordinator/tests/admission.rs
+++ b/crates/coordinator/tests/admission.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Fleet, MS, figure, settle, stores};
+use common::{Fleet, MS, figure, read, settle, stores};
 use rainlug::SECOND;
 use rainlug_coordinator::capacity::lag_bytes;
 use rainlug_coordinator::{Answer, BATCH_SHARDS, Call};
@@ -15,10 +15,6 @@
     common::submit(id, ITEMS)
 }
 
-fn read(id: &str) -> Call {
-    Call::Read { job: id.to_owned(), since: 0, wait: 0 }
-}
-
 fn sum(fleet: &Fleet, name: &str) -> f64 {
     stores(fleet).into_iter().filter_map(|at| figure(fleet, at, name)).sum()
 }
@@ -138,8 +134,8 @@
 }
 
 #[test]
-fn given_a_slow_link_when_outputs_grow_then_jobs_are_refused_before_a_refill_takes_too_long_and_taken_later()
-{
+fn given_a_slow_link_when_outputs_grow_then_jobs_are_refused_before_a_recovery_takes_too_long_and_taken_later()
+ {
     refuses_and_takes_again(73, "refill", slow_link);
 }
 
@@ -260,7 +256,7 @@
 }
 
 #[test]
-fn given_stores_that_are_told_of_a_faster_link_when_two_disks_are_lost_then_the_story_finds_it_too_late() {
+fn given_stores_that_assume_a_faster_link_when_two_disks_are_lost_then_the_story_finds_it_too_late() {
     let took = refill_takes(86, false, 3 * LINK);
     assert!(took > 5.0, "the story would find nothing: {took} s");
 }
--- a/crates/coordinator/tests/capacity.rs
+++ b/crates/coordinator/tests/capacity.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn outputs_of_accepted_items_have_their_room_first() {
+fn outputs_of_accepted_items_have_their_capacity_first() {
     let future_output_bytes = 10_000 * log(0, 0, 0).mean_output_bytes();
     let held = usage(&[log(30 * MEGABYTE, 30 * MEGABYTE, 10_000)]);
     let left = USABLE - 2 * 30 * MEGABYTE - future_output_bytes;
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn jobs_that_are_proposed_have_their_room_first() {
+fn jobs_that_are_proposed_have_their_capacity_first() {
     let held = CapacityUsage { proposed: 20 * MEGABYTE, ..usage(&[log(30 * MEGABYTE, 30 * MEGABYTE, 0)]) };
     assert_eq!(disk_of(CAPACITY).admit(&held, USABLE - 80 * MEGABYTE), Ok(()));
     assert_eq!(disk_of(CAPACITY).admit(&held, USABLE - 80 * MEGABYTE + 1), Err(RejectionReason::Disk));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn parts_that_may_come_from_lost_stores_have_room_too() {
+fn shards_that_may_come_from_lost_stores_have_capacity_too() {
     let held = |max_shards_after_losses| CapacityUsage {
         max_shards_after_losses,
         ..usage(&[log(10 * MEGABYTE, 10 * MEGABYTE, 0)])
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn seats_of_lost_stores_are_reckoned_where_they_go() {
+fn replicas_of_lost_stores_are_counted_where_they_go() {
     // Four parts of five members each: on nine stores, and on five of eight that are left.
     assert_eq!(max_shards_after_losses(4, 5, 9, 2), 3);
     assert_eq!(max_shards_after_losses(4, 5, 7, 2), 4);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn the_largest_part_has_room_for_a_second_copy() {
+fn the_largest_shard_has_capacity_for_a_second_copy() {
     let (small, large) = (log(10 * MEGABYTE, 10 * MEGABYTE, 0), log(40 * MEGABYTE, 30 * MEGABYTE, 0));
     let held = usage(&[small, large]);
     let left = USABLE - 50 * MEGABYTE - 30 * MEGABYTE;
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn each_more_part_leaves_less_memory_to_the_state() {
+fn each_more_shard_leaves_less_memory_to_the_state() {
     let bounds = CapacityLimits { memory_bytes: 300 * MEGABYTE, ..disk_of(CAPACITY) };
     let of = |shards| bounds.memory_limit(shards);
     assert!(of(1) > of(2) && of(2) > of(4));
@@ -209,7 +209,7 @@
 const REFILL: u64 = 7_500_000 * 3 / 4 * 21 / 2;
 
 #[test]
-fn an_empty_disk_takes_all_parts_in_time() {
+fn an_empty_disk_takes_all_shards_in_time() {
     let bounds = slow_link(1);
     assert_eq!(bounds.recovery_limit(), REFILL);
     let held = usage(&[log(0, REFILL / 2, 0), log(0, REFILL / 2 - 1000, 0)]);
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn an_output_takes_no_more_room_than_is_reckoned() {
+fn an_output_takes_no_more_capacity_than_is_counted() {
     let text = StoredText::plain(&[b'x'; 5000]);
     let (job, item) = ("f28f2dda36c74a36".to_owned(), "f28f2dda36c74a36-000123".to_owned());
     let command = Command::FinishItem { job, item, outcome: ItemOutcome::Complete, text }.encode();
@@ -507,7 +507,7 @@
 
     /// A store that refuses takes jobs again once what it has is forgotten.
     #[test]
-    fn once_all_is_forgotten_there_is_room_again(
+    fn once_all_is_forgotten_there_is_capacity_again(
         bounds in bounds(),
         shards in 1..4_usize,
         output in 0..4096_usize,
--- a/crates/coordinator/tests/catch_up.rs
+++ b/crates/coordinator/tests/catch_up.rs
@@ -334,13 +334,13 @@
 }
 
 #[test]
-fn given_an_edge_that_was_cut_off_during_all_changes_when_links_are_whole_then_it_follows_within_two_seconds()
-{
+fn given_an_edge_that_was_isolated_during_all_changes_when_links_are_whole_then_it_follows_within_two_seconds()
+ {
     for (seed, size) in [(930, SMALL), (931, LARGE), (932, SMALL)] {
         let mut operated = Operated::new(seed, size);
         let edge = CORE;
         let rest: Vec<usize> = (0..operated.fleet.machines.len()).filter(|at| *at != edge).collect();
-        operated.fleet.cut(&[edge], &rest);
+        operated.fleet.partition(&[edge], &rest);
         for _ in 0..AWAY + BEFORE {
             let base = operated.version;
             let text = operated.text(base + 1);
@@ -371,7 +371,7 @@
 
 /// What happens to a core machine in a random course.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
+enum Fault {
     Kill,
     Freeze,
     Cut,
@@ -404,27 +404,27 @@
         let at = rng.random_range(0..CORE);
         let runs = |machine: &Machine| machine.coordinator.is_some() && !machine.frozen;
         let machines = &operated.fleet.machines;
-        let all_up = machines.iter().all(runs) && !operated.fleet.is_cut();
+        let all_up = machines.iter().all(runs) && !operated.fleet.is_partitioned();
         let calm = all_up && operated.fleet.now - whole > (SYNC * SECOND as f64) as Time;
         let rest: Vec<usize> = (0..machines.len()).filter(|other| *other != at).collect();
-        let trouble = [Trouble::Kill, Trouble::Freeze, Trouble::Cut, Trouble::Wipe][rng.random_range(0..4)];
-        match trouble {
+        let fault = [Fault::Kill, Fault::Freeze, Fault::Cut, Fault::Wipe][rng.random_range(0..4)];
+        match fault {
             _ if rng.random_bool(0.4) => {
                 operated.end_troubles();
                 whole = if all_up { whole } else { operated.fleet.now };
             }
             _ if !runs(&machines[at]) => {}
-            Trouble::Kill => {
+            Fault::Kill => {
                 operated.fleet.kill(at, true);
                 if disks == Disks::Forget {
                     operated.fleet.machines[at].disk.as_mut().expect("it has one").synced.clear();
                 }
             }
-            Trouble::Freeze => operated.fleet.freeze(at),
-            Trouble::Cut => operated.fleet.cut(&[at], &rest),
+            Fault::Freeze => operated.fleet.freeze(at),
+            Fault::Cut => operated.fleet.partition(&[at], &rest),
             // No more disks than may be lost at once.
-            Trouble::Wipe if calm => operated.fleet.wipe(at),
-            Trouble::Wipe => {}
+            Fault::Wipe if calm => operated.fleet.wipe(at),
+            Fault::Wipe => {}
         }
         if rng.random_bool(0.3) {
             operated.fleet.pass(SYNC);
@@ -447,7 +447,7 @@
 }
 
 #[test]
-fn given_random_troubles_when_changes_go_on_then_none_is_lost_or_refused_and_all_follow() {
+fn given_random_faults_when_changes_go_on_then_none_is_lost_or_refused_and_all_follow() {
     const SEEDS: u64 = 4;
     let mut changes = 0;
     for seed in 0..SEEDS {
@@ -493,7 +493,7 @@
     let rest: Vec<usize> = (0..operated.fleet.machines.len()).filter(|at| *at != CORE).collect();
     operated.changes(3);
     assert!(operated.reads_the_newest());
-    operated.fleet.cut(&[CORE], &rest);
+    operated.fleet.partition(&[CORE], &rest);
     operated.fleet.pass(2.0);
     let (base, text) = (operated.version, operated.text(operated.version + 1));
     let answer = operated.fleet.ask(0, Call::Configure { base, text }, 2.0);
--- a/crates/coordinator/tests/common/fleet.rs
+++ b/crates/coordinator/tests/common/fleet.rs
@@ -19,11 +19,11 @@
 pub const MS: Time = SECOND / 1000;
 
 enum Event {
-    Datagram { to: usize, life: u32, from: SocketAddr, bytes: Bytes },
-    Frame { to: usize, life: u32, from: SocketAddr, bytes: Bytes },
-    Saved { at: usize, life: u32, shard: u16, ticket: u64 },
-    Wake { at: usize, life: u32 },
-    Ran { at: usize, life: u32, shard: u16, job: String, item: String, events: Vec<(u64, Bytes)> },
+    Datagram { to: usize, incarnation: u32, from: SocketAddr, bytes: Bytes },
+    Frame { to: usize, incarnation: u32, from: SocketAddr, bytes: Bytes },
+    Saved { at: usize, incarnation: u32, shard: u16, ticket: u64 },
+    Wake { at: usize, incarnation: u32 },
+    Ran { at: usize, incarnation: u32, shard: u16, job: String, item: String, events: Vec<(u64, Bytes)> },
 }
 
 pub struct Machine {
@@ -34,8 +34,8 @@
     pub disk: Option<Disk>,
     pub coordinator: Option<Coordinator>,
     pub frozen: bool,
-    life: u32,
-    wakes: Time,
+    incarnation: u32,
+    wakes_at: Time,
     /// By how much its time of day is ahead.
     pub skew: Time,
     /// It is at work on a step until then, and takes nothing in.
@@ -56,10 +56,10 @@
     /// Every text that came into force, and where.
     pub in_force_log: Vec<(usize, Bytes)>,
     events: BinaryHeap<Reverse<(Time, u64)>>,
-    held: BTreeMap<u64, Event>,
+    events_by_number: BTreeMap<u64, Event>,
     count: u64,
     tickets: u64,
-    cut: BTreeSet<(usize, usize)>,
+    partitioned: BTreeSet<(usize, usize)>,
     order: BTreeMap<(usize, usize), Time>,
     /// Bytes a second that each machine's link carries, in frames each way; without it, any number.
     pub link: Option<u64>,
@@ -132,10 +132,10 @@
             runs: Vec::new(),
             in_force_log: Vec::new(),
             events: BinaryHeap::new(),
-            held: BTreeMap::new(),
+            events_by_number: BTreeMap::new(),
             count: 0,
             tickets: 0,
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             order: BTreeMap::new(),
             link: None,
             sending: BTreeMap::new(),
@@ -188,8 +188,8 @@
             disk: disk.then(Disk::default),
             coordinator: None,
             frozen: false,
-            life: 0,
-            wakes: Time::MAX,
+            incarnation: 0,
+            wakes_at: Time::MAX,
             skew: 0,
             busy_until: 0,
             in_force: Vec::new(),
@@ -243,7 +243,7 @@
             seed,
         };
         machine.coordinator = Some(Coordinator::new(info, logs, now).expect("its own records"));
-        machine.life += 1;
+        machine.incarnation += 1;
         machine.frozen = false;
         machine.in_force.clear();
         machine.workers.clear();
@@ -251,16 +251,16 @@
     }
 
     /// Which start of its process this is.
-    pub fn life(&self, at: usize) -> u32 {
-        self.machines[at].life
+    pub fn incarnation(&self, at: usize) -> u32 {
+        self.machines[at].incarnation
     }
 
     /// The process is gone. With `power`, what is not synced is lost; without, what was written reaches the disk.
     pub fn kill(&mut self, at: usize, power: bool) {
         let machine = &mut self.machines[at];
         machine.coordinator = None;
-        machine.life += 1;
-        machine.wakes = Time::MAX;
+        machine.incarnation += 1;
+        machine.wakes_at = Time::MAX;
         if let Some(disk) = &mut machine.disk {
             disk.finish(!power);
         }
@@ -278,31 +278,31 @@
 
     pub fn thaw(&mut self, at: usize) {
         self.machines[at].frozen = false;
-        let life = self.machines[at].life;
-        self.push(self.now, Event::Wake { at, life });
+        let incarnation = self.machines[at].incarnation;
+        self.push(self.now, Event::Wake { at, incarnation });
     }
 
     /// Nothing passes between the two sides.
-    pub fn cut(&mut self, one: &[usize], other: &[usize]) {
+    pub fn partition(&mut self, one: &[usize], other: &[usize]) {
         for a in one {
             for b in other {
-                self.cut.insert((*a, *b));
-                self.cut.insert((*b, *a));
+                self.partitioned.insert((*a, *b));
+                self.partitioned.insert((*b, *a));
             }
         }
     }
 
     /// Nothing passes from the one side to the other.
-    pub fn cut_one_way(&mut self, from: &[usize], to: &[usize]) {
-        self.cut.extend(from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b))));
+    pub fn partition_one_way(&mut self, from: &[usize], to: &[usize]) {
+        self.partitioned.extend(from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b))));
     }
 
-    pub fn is_cut(&self) -> bool {
-        !self.cut.is_empty()
+    pub fn is_partitioned(&self) -> bool {
+        !self.partitioned.is_empty()
     }
 
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.partitioned.clear();
     }
 
     /// A call at a machine; its ticket.
@@ -352,8 +352,8 @@
             }
             self.events.pop();
             self.now = self.now.max(at);
-            if let Some(event) = self.held.remove(&nth) {
-                self.happen(event);
+            if let Some(event) = self.events_by_number.remove(&nth) {
+                self.handle(event);
                 if holds(self) {
                     return true;
                 }
@@ -365,20 +365,22 @@
 
     fn push(&mut self, at: Time, event: Event) {
         self.count += 1;
-        self.held.insert(self.count, event);
+        self.events_by_number.insert(self.count, event);
         self.events.push(Reverse((at, self.count)));
     }
 
-    fn happen(&mut self, event: Event) {
-        let (at, life) = match &event {
-            Event::Datagram { to, life, .. } | Event::Frame { to, life, .. } => (*to, *life),
-            Event::Saved { at, life, .. } | Event::Wake { at, life } | Event::Ran { at, life, .. } => {
-                (*at, *life)
+    fn handle(&mut self, event: Event) {
+        let (at, incarnation) = match &event {
+            Event::Datagram { to, incarnation, .. } | Event::Frame { to, incarnation, .. } => {
+                (*to, *incarnation)
             }
+            Event::Saved { at, incarnation, .. }
+            | Event::Wake { at, incarnation }
+            | Event::Ran { at, incarnation, .. } => (*at, *incarnation),
         };
         let now = self.time(at);
         let machine = &mut self.machines[at];
-        if machine.life != life || machine.coordinator.is_none() {
+        if machine.incarnation != incarnation || machine.coordinator.is_none() {
             return;
         }
         if machine.frozen {
@@ -409,7 +411,7 @@
                 coordinator.persisted(now, shard, ticket, length);
             }
             Event::Wake { .. } => {
-                machine.wakes = Time::MAX;
+                machine.wakes_at = Time::MAX;
                 coordinator.handle_timeout(now);
             }
             Event::Ran { shard, job, item, events, .. } => {
@@ -440,7 +442,7 @@
         for (invariant, count) in coordinator.violations().counts().filter(|_| !self.has_damaged_disks) {
             assert_eq!(count, 0, "{at} violates {}: {effects:?}", invariant.name());
         }
-        let (from, life) = (self.machines[at].at, self.machines[at].life);
+        let (from, incarnation) = (self.machines[at].at, self.machines[at].incarnation);
         for effect in effects {
             match effect {
                 Effect::Datagram { to, bytes } => {
@@ -449,13 +451,13 @@
                     }
                     self.bytes += bytes.len() as u64;
                     *self.bytes_from.entry(at).or_default() += bytes.len() as u64;
-                    let Some(to) = self.place(to).filter(|to| !self.cut.contains(&(at, *to))) else {
+                    let Some(to) = self.place(to).filter(|to| !self.partitioned.contains(&(at, *to))) else {
                         continue;
                     };
                     *self.bytes_to.entry(to).or_default() += bytes.len() as u64;
                     if self.rng.random::<f64>() >= self.loss {
-                        let (delay, life) = (self.delay(), self.machines[to].life);
-                        self.push(self.now + delay, Event::Datagram { to, life, from, bytes });
+                        let (delay, incarnation) = (self.delay(), self.machines[to].incarnation);
+                        self.push(self.now + delay, Event::Datagram { to, incarnation, from, bytes });
                     }
                 }
                 Effect::Frame { to, head, tail } => {
@@ -465,15 +467,15 @@
                     }
                     self.bytes += bytes.len() as u64;
                     *self.bytes_from.entry(at).or_default() += bytes.len() as u64;
-                    let Some(to) = self.place(to).filter(|to| !self.cut.contains(&(at, *to))) else {
+                    let Some(to) = self.place(to).filter(|to| !self.partitioned.contains(&(at, *to))) else {
                         continue;
                     };
                     *self.bytes_to.entry(to).or_default() += bytes.len() as u64;
-                    let (delay, life) = (self.delay(), self.machines[to].life);
+                    let (delay, incarnation) = (self.delay(), self.machines[to].incarnation);
                     let delay = delay + self.link_delay(at, to, bytes.len());
                     let due = self.order.get(&(at, to)).copied().unwrap_or(0).max(self.now + delay);
                     self.order.insert((at, to), due);
-                    self.push(due, Event::Frame { to, life, from, bytes });
+                    self.push(due, Event::Frame { to, incarnation, from, bytes });
                 }
                 Effect::Append { shard, ticket, records } => self.write(at, shard, ticket, false, records),
                 Effect::ReplaceDiskIdentity { disk } => {
@@ -506,7 +508,10 @@
                         events.push((4, self.noise(self.output_padding)));
                     }
                     let (job, item) = (next.job.clone(), next.item.id.clone());
-                    self.push(self.now + self.run_time, Event::Ran { at, life, shard, job, item, events });
+                    self.push(
+                        self.now + self.run_time,
+                        Event::Ran { at, incarnation, shard, job, item, events },
+                    );
                 }
                 Effect::PeerCount(_) => {}
                 Effect::Reports(reports) => self.machines[at].reports.extend(reports),
@@ -517,20 +522,20 @@
         }
         let machine = &mut self.machines[at];
         let next = machine.coordinator.as_ref().map_or(Time::MAX, |o| o.next_timeout());
-        if next < machine.wakes {
-            machine.wakes = next;
-            let life = machine.life;
-            self.push(next.max(self.now), Event::Wake { at, life });
+        if next < machine.wakes_at {
+            machine.wakes_at = next;
+            let incarnation = machine.incarnation;
+            self.push(next.max(self.now), Event::Wake { at, incarnation });
         }
     }
 
     fn write(&mut self, at: usize, shard: u16, ticket: u64, whole: bool, records: Vec<Bytes>) {
         let sync = self.slow_disks.get(&at).copied().unwrap_or(self.sync);
-        let life = self.machines[at].life;
+        let incarnation = self.machines[at].incarnation;
         if let Some(disk) = &mut self.machines[at].disk {
             disk.write(shard, ticket, whole, records);
         }
-        self.push(self.now + sync, Event::Saved { at, life, shard, ticket });
+        self.push(self.now + sync, Event::Saved { at, incarnation, shard, ticket });
     }
 
     /// So many letters, digits and signs that no compression makes much shorter.
@@ -553,7 +558,24 @@
         MS / 2 + (self.rng.random::<f64>() * MS as f64) as Time
     }
 
-    /// Who leads a part.
+    /// All machines but one.
+    pub fn others(&self, of: usize) -> Vec<usize> {
+        (0..self.machines.len()).filter(|at| *at != of).collect()
+    }
+
+    /// Nothing passes between a machine and all others.
+    pub fn isolate(&mut self, at: usize) {
+        self.partition(&[at], &self.others(at));
+    }
+
+    /// The members of a shard as its leader knows them; none where nobody leads it.
+    pub fn members_of(&self, shard: u16) -> Option<Vec<usize>> {
+        let leader = self.machines[self.leader(shard)?].coordinator.as_ref()?;
+        let members = leader.shard_status(shard).members;
+        Some(members.iter().filter_map(|member| self.place(member.address)).collect())
+    }
+
+    /// Who leads a shard.
     pub fn leader(&self, shard: u16) -> Option<usize> {
         let leads = |m: &Machine| {
             !m.frozen && m.coordinator.as_ref().is_some_and(|o| o.shard_status(shard).is_leader)
--- a/crates/coordinator/tests/common/inputs.rs
+++ b/crates/coordinator/tests/common/inputs.rs
@@ -34,6 +34,11 @@
     Call::Submit { job: id.to_owned(), route: "lots".to_owned(), body: job(id, items) }
 }
 
+/// A read of a batch job from its first output.
+pub fn read(id: &str) -> Call {
+    Call::Read { job: id.to_owned(), since: 0, wait: 0 }
+}
+
 pub fn heartbeat(id: &str, service: &str, state: &str, seq: u64) -> Call {
     let body = format!(
         r#"{{"service":"{service}","address":"10.9.0.1:80","zone":"zone-0","version":"v1","slots":8,"state":"{state}",
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -9,5 +9,5 @@
 
 pub use disk::Disk;
 pub use fleet::{Cost, Fleet, MS, Machine, Trace, address, figure, settle, settled, stores};
-pub use inputs::{configuration, heartbeat, job, jobs_of, large_configuration, submit};
+pub use inputs::{configuration, heartbeat, job, jobs_of, large_configuration, read, submit};
 pub use workers::HeartbeatingWorkers;
--- a/crates/coordinator/tests/stories.rs
+++ b/crates/coordinator/tests/fleet.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn given_empty_disks_when_all_start_then_the_parts_are_founded_and_a_configuration_is_in_force_everywhere() {
+fn given_empty_disks_when_all_start_then_the_shards_are_founded_and_a_configuration_is_in_force_everywhere() {
     let fleet = settled(4, 6, 4, 1);
     for machine in &fleet.machines {
         assert_eq!(machine.in_force, [5], "{}", machine.name);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn given_a_worker_when_its_beat_says_draining_then_all_know_before_it_is_acknowledged() {
+fn given_a_worker_when_its_heartbeat_says_draining_then_all_know_before_it_is_acknowledged() {
     let mut fleet = settled(4, 6, 3, 4);
     assert_eq!(fleet.ask(2, heartbeat("w1", "notary", "ready", 1), 2.0).map(|a| a.status), Some(200));
     fleet.pass(1.0);
@@ -118,7 +118,8 @@
 }
 
 #[test]
-fn given_a_worker_when_its_beats_stop_then_it_is_called_silent_and_its_next_beat_brings_it_back() {
+fn given_a_worker_when_its_heartbeats_stop_then_it_is_called_unresponsive_and_its_next_heartbeat_brings_it_back()
+ {
     let mut fleet = settled(3, 3, 3, 6);
     for seq in 1..5 {
         fleet.ask(2, heartbeat("w1", "notary", "ready", seq), 2.0);
@@ -207,7 +208,7 @@
 }
 
 #[test]
-fn given_a_core_machine_lost_for_good_when_an_empty_one_comes_elsewhere_then_it_takes_the_seat() {
+fn given_a_core_machine_lost_for_good_when_an_empty_one_comes_elsewhere_then_it_becomes_a_member() {
     let mut fleet = settled(3, 2, 3, 9);
     fleet.kill(1, true);
     let new = fleet.add(true, true, 1);
@@ -225,12 +226,13 @@
 }
 
 #[test]
-fn given_a_core_cut_in_two_when_the_leader_is_alone_then_the_rest_goes_on_and_it_follows_when_healed() {
+fn given_a_core_partitioned_in_two_when_the_leader_is_alone_then_the_rest_goes_on_and_it_follows_when_healed()
+{
     for seed in 0..6 {
         let mut fleet = settled(4, 2, 3, 400 + seed);
         let leader = fleet.leader(CONTROL).expect("a leader");
         let rest: Vec<usize> = (0..fleet.machines.len()).filter(|at| *at != leader).collect();
-        fleet.cut(&[leader], &rest);
+        fleet.partition(&[leader], &rest);
         let lost = fleet.call(leader, configure(5, 6));
         fleet.pass(2.0);
         let other = rest[0];
@@ -337,7 +339,8 @@
 }
 
 #[test]
-fn given_word_of_a_new_part_in_any_order_when_it_is_founded_then_each_member_knows_the_group_and_may_lead() {
+fn given_updates_of_a_new_shard_in_any_order_when_it_is_founded_then_each_member_knows_the_group_and_may_lead()
+ {
     for seed in 0..40 {
         let mut fleet = settled(3, 2, 3, 700 + seed);
         fleet.pass(1.0);
@@ -356,7 +359,7 @@
 }
 
 #[test]
-fn given_a_store_that_hears_a_parts_leader_before_the_roster_then_it_begins_nothing_without_a_group() {
+fn given_a_store_that_hears_a_shards_leader_before_the_topology_then_it_begins_nothing_without_a_group() {
     let mut fleet = common::Fleet::new(3, 0, 1, 12);
     fleet.start(3, true);
     let head =
--- a/crates/coordinator/tests/long_day.rs
+++ b/crates/coordinator/tests/large_state.rs
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn given_a_large_part_when_all_lose_power_and_two_their_disks_then_all_is_read_again() {
+fn given_a_large_shard_when_all_lose_power_and_two_their_disks_then_all_is_read_again() {
     for seed in 0..3 {
         let mut fleet = long_day(4_500 + seed);
         let stores = stores(&fleet);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn given_a_large_part_when_it_is_restarted_and_refilled_then_no_step_handles_the_whole_state() {
+fn given_a_large_shard_when_it_is_restarted_and_refilled_then_no_step_handles_the_whole_state() {
     let mut fleet = long_day(4_600);
     let stores = stores(&fleet);
     lose_power_and_disks(&mut fleet, &stores[..2]);
--- a/crates/coordinator/tests/halves.rs
+++ b/crates/coordinator/tests/network_partitions.rs
@@ -5,7 +5,7 @@
 use rainlug_registry::Phase;
 
 #[test]
-fn given_core_machines_cut_into_halves_that_others_reach_when_a_worker_leaves_in_the_smaller_half_then_all_know_in_time()
+fn given_core_machines_partitioned_into_halves_that_others_reach_when_a_worker_leaves_in_the_smaller_half_then_all_know_in_time()
  {
     for seed in 0..8 {
         for core in [3usize, 4] {
@@ -15,7 +15,7 @@
             fleet.pass(1.0);
             let half: Vec<usize> = (0..core / 2).collect();
             let rest: Vec<usize> = (core / 2..core).collect();
-            fleet.cut(&half, &rest);
+            fleet.partition(&half, &rest);
             fleet.pass(4.0);
             for (call, id, phase) in [
                 (heartbeat("w1", "notary", "draining", 2), "w1", Phase::Draining),
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn given_machines_cut_into_halves_that_nobody_bridges_when_a_worker_leaves_in_the_smaller_half_then_no_word_is_given_that_the_rest_lacks()
+fn given_machines_partitioned_into_halves_that_nobody_bridges_when_a_worker_leaves_in_the_smaller_half_then_nothing_is_acknowledged_that_the_rest_lacks()
  {
     let mut broken = 0;
     for seed in 0..8 {
@@ -42,7 +42,7 @@
             let mut fleet = settled(3, 3, 0, 500 + seed);
             fleet.ask(0, heartbeat("w1", "notary", "ready", 1), 1.0);
             fleet.pass(1.0);
-            fleet.cut(&[0, 3], &[1, 2, 4, 5]);
+            fleet.partition(&[0, 3], &[1, 2, 4, 5]);
             fleet.pass(wait);
             let got = fleet.ask(0, heartbeat("w1", "notary", "draining", 2), 1.0).map(|a| a.status);
             let all = fleet.until(2.0, |f| {
@@ -55,14 +55,14 @@
 }
 
 #[test]
-fn given_core_machines_cut_into_halves_when_the_configuration_is_read_anywhere_then_it_is_the_newest_or_503()
-{
+fn given_core_machines_partitioned_into_halves_when_the_configuration_is_read_anywhere_then_it_is_the_newest_or_503()
+ {
     for seed in 0..8 {
         for core in [3usize, 4] {
             let mut fleet = settled(core, 6, 0, 600 + seed);
             let half: Vec<usize> = (0..core / 2).collect();
             let rest: Vec<usize> = (core / 2..core).collect();
-            fleet.cut(&half, &rest);
+            fleet.partition(&half, &rest);
             let mut newest = 0;
             let mut base = fleet.machines[0].in_force.last().copied().unwrap_or(0);
             for turn in 0..12u64 {
--- a/crates/coordinator/tests/operators/batch_stories.rs
+++ b/crates/coordinator/tests/operators/batch_stories.rs
@@ -36,20 +36,15 @@
     fleet.leader(shard_of_job("job")).expect("a leader")
 }
 
-fn cut_off(fleet: &mut Fleet, at: usize) {
-    let rest: Vec<usize> = (0..fleet.machines.len()).filter(|other| *other != at).collect();
-    fleet.cut(&[at], &rest);
-}
-
 #[test]
-fn given_a_batch_job_when_its_leader_is_cut_off_before_the_answer_then_it_is_taken_once_and_acknowledged_again()
+fn given_a_batch_job_when_its_leader_is_isolated_before_the_answer_then_it_is_taken_once_and_acknowledged_again()
  {
     for seed in 0..10 {
         let mut fleet = settled(3, 1, 4, seed);
         let old = leader(&fleet);
         let first = fleet.call(0, submit("job"));
         fleet.pass(0.001 * seed as f64);
-        cut_off(&mut fleet, old);
+        fleet.isolate(old);
         assert_eq!(until_clear(&mut fleet, 1, &submit("job")), 202, "seed {seed}");
         fleet.pass(CUT);
         fleet.heal();
@@ -72,7 +67,7 @@
         let old = leader(&fleet);
         fleet.call(1, end("job"));
         fleet.pass(0.002 * seed as f64);
-        cut_off(&mut fleet, old);
+        fleet.isolate(old);
         assert_eq!(until_clear(&mut fleet, 2, &end("job")), 200, "seed {seed}");
         fleet.pass(CUT);
         fleet.heal();
@@ -84,10 +79,10 @@
 }
 
 #[test]
-fn given_a_dispatcher_cut_off_when_batch_jobs_come_to_it_then_nothing_is_refused_for_good() {
+fn given_a_gateway_isolated_when_batch_jobs_come_to_it_then_nothing_is_refused_for_good() {
     let mut fleet = settled(3, 1, 4, 40);
     assert_eq!(status(&mut fleet, 0, submit("known")), Some(202));
-    cut_off(&mut fleet, 3);
+    fleet.isolate(3);
     fleet.pass(2.0);
     let read = Call::Read { job: "known".to_owned(), since: 0, wait: 0 };
     for call in [submit("job"), submit("known"), end("known"), end("no-such"), read] {
@@ -103,13 +98,13 @@
 }
 
 #[test]
-fn given_a_parts_leader_just_cut_off_when_an_end_comes_to_a_dispatcher_of_its_side_then_it_is_not_refused() {
+fn given_a_shards_leader_just_isolated_when_an_end_comes_to_a_gateway_of_its_side_then_it_is_not_refused() {
     for seed in 0..6 {
         let mut fleet = settled(3, 1, 4, 50 + seed);
         let old = leader(&fleet);
         let rest: Vec<usize> = (0..fleet.machines.len()).filter(|other| ![old, 3].contains(other)).collect();
         // Submitted on the other side, where another leader takes it.
-        fleet.cut(&[old, 3], &rest);
+        fleet.partition(&[old, 3], &rest);
         let late = fleet.call(3, end("job"));
         assert_eq!(until_clear(&mut fleet, 0, &submit("job")), 202);
         fleet.pass(3.0);
--- a/crates/coordinator/tests/operators/checker_stories.rs
+++ b/crates/coordinator/tests/operators/checker_stories.rs
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn given_a_machine_that_is_silent_when_checked_then_the_late_answer_is_found() {
+fn given_a_machine_that_is_unresponsive_when_checked_then_the_late_answer_is_found() {
     assert!(matches!(course(Fault::AnswersLate), Err(Violation::AnsweredLate { .. })));
 }
 
--- a/crates/coordinator/tests/operators/stories.rs
+++ b/crates/coordinator/tests/operators/configuration_stories.rs
@@ -5,9 +5,9 @@
 use rainlug_coordinator::{BATCH_SHARDS, CONTROL, Call, Now};
 
 use crate::common::{Fleet, MS, address, heartbeat};
+use crate::faults::{Fault, VICTIMS, core, inject, partition, pick};
 use crate::history::Response;
 use crate::operator::{Campaign, Habits};
-use crate::trouble::{Trouble, VICTIMS, befall, core, cut, pick};
 
 /// How long a control machine is cut off.
 const CUT: f64 = 20.0;
@@ -33,10 +33,6 @@
     campaign.fleet.leader(CONTROL).expect("a leader")
 }
 
-fn others(campaign: &Campaign, of: usize) -> Vec<usize> {
-    (0..campaign.fleet.machines.len()).filter(|at| *at != of).collect()
-}
-
 /// How many groups of batch jobs count on a machine, as their leaders know.
 fn replica_count(fleet: &Fleet, store: usize) -> usize {
     let holds = |shard: u16| {
@@ -58,35 +54,35 @@
 }
 
 #[test]
-fn given_operators_when_a_machine_is_cut_off_for_twenty_seconds_in_any_way_then_the_register_is_linearizable()
-{
+fn given_operators_when_a_machine_is_isolated_for_twenty_seconds_in_any_way_then_the_register_is_linearizable()
+ {
     let cuts = [
-        Trouble::CutWhole,
-        Trouble::CutOutbound,
-        Trouble::CutInbound,
-        Trouble::CutFromCore,
-        Trouble::CutAgain,
-        Trouble::CutAndRestart,
+        Fault::Isolate,
+        Fault::BlockOutbound,
+        Fault::BlockInbound,
+        Fault::PartitionFromCore,
+        Fault::IsolateAgain,
+        Fault::IsolateAndRestart,
     ];
-    for (nth, trouble) in cuts.into_iter().enumerate() {
+    for (nth, fault) in cuts.into_iter().enumerate() {
         for victim in VICTIMS {
             let mut campaign = busy(9_000 + nth as u64);
             campaign.pass(1.0);
             let at = pick(&campaign.fleet, victim);
-            befall(&mut campaign, trouble, at, CUT);
+            inject(&mut campaign, fault, at, CUT);
             campaign.pass(3.0);
-            assert_eq!(campaign.judge(), Ok(()), "{trouble:?} of {victim:?}");
+            assert_eq!(campaign.judge(), Ok(()), "{fault:?} of {victim:?}");
         }
     }
 }
 
 #[test]
-fn given_a_leader_just_cut_off_when_an_order_is_not_above_what_it_has_then_it_does_not_refuse() {
+fn given_a_leader_just_isolated_when_an_order_is_not_above_what_it_has_then_it_does_not_refuse() {
     for seed in 0..10 {
         let mut campaign = quiet(seed);
         let at = leader(&campaign);
         let lower = campaign.order(5, 4);
-        cut(&mut campaign, Trouble::CutWhole, at);
+        partition(&mut campaign, Fault::Isolate, at);
         campaign.fleet.pass(0.06);
         assert!(campaign.fleet.leader(CONTROL) == Some(at), "it does not know yet");
         assert_eq!(campaign.put(at, lower), Response::Unknown);
@@ -98,12 +94,12 @@
 }
 
 #[test]
-fn given_a_leader_just_cut_off_when_a_store_is_to_be_retired_then_it_neither_refuses_nor_confirms() {
+fn given_a_leader_just_isolated_when_a_store_is_to_be_retired_then_it_neither_refuses_nor_confirms() {
     for seed in 0..6 {
         let mut campaign = fleet_with_stores(20 + seed);
         let at = leader(&campaign);
         let known = campaign.fleet.machines[FIRST_STORE].name.clone();
-        cut(&mut campaign, Trouble::CutWhole, at);
+        partition(&mut campaign, Fault::Isolate, at);
         campaign.fleet.pass(0.06);
         for store in ["no-such", &known] {
             let answer = campaign.fleet.ask(at, retire(store), 1.0).expect("an answer");
@@ -123,7 +119,7 @@
     let stores: Vec<usize> = (FIRST_STORE..FIRST_STORE + 3).collect();
     let name = campaign.fleet.machines[FIRST_STORE].name.clone();
     let rest: Vec<usize> = (0..FIRST_STORE).collect();
-    campaign.fleet.cut(&stores, &rest);
+    campaign.fleet.partition(&stores, &rest);
     campaign.fleet.pass(8.0);
     let status = campaign.fleet.ask(0, retire(&name), 1.0).map(|a| a.status);
     assert_eq!(status, Some(503), "enough are on the roster");
@@ -153,10 +149,10 @@
 }
 
 #[test]
-fn given_a_machine_cut_off_when_operators_call_it_then_it_says_so_well_before_they_move_on() {
+fn given_a_machine_isolated_when_operators_call_it_then_it_says_so_well_before_they_move_on() {
     let mut campaign = quiet(40);
     for at in core(&campaign.fleet) {
-        cut(&mut campaign, Trouble::CutWhole, at);
+        partition(&mut campaign, Fault::Isolate, at);
         // Its own first answer, and those once it knows that nobody hears it.
         for (after, most) in [(0.06, 800 * MS), (2.0, 300 * MS), (CUT - 4.0, 300 * MS)] {
             campaign.fleet.pass(after);
@@ -174,17 +170,17 @@
 }
 
 #[test]
-fn given_a_leader_cut_off_when_an_order_is_sent_elsewhere_then_it_is_acknowledged_within_a_second_and_a_half()
-{
+fn given_a_leader_isolated_when_an_order_is_sent_elsewhere_then_it_is_acknowledged_within_a_second_and_a_half()
+ {
     const MOST: Time = 1500 * MS;
     for seed in 0..12 {
         let mut campaign = quiet(50 + seed);
         let at = leader(&campaign);
-        cut(&mut campaign, Trouble::CutWhole, at);
+        partition(&mut campaign, Fault::Isolate, at);
         let mut base = 5;
         for wait in [0.0, 1.0, 5.0, 8.0] {
             campaign.fleet.pass(wait);
-            for machine in others(&campaign, at) {
+            for machine in campaign.fleet.others(at) {
                 let order = campaign.order(base, base + 2);
                 let since = campaign.fleet.now;
                 while campaign.put(machine, order) != Response::Accepted {
@@ -203,11 +199,11 @@
 }
 
 #[test]
-fn given_a_dispatcher_cut_off_when_versions_go_on_then_it_is_ready_only_with_the_newest_in_force() {
+fn given_a_gateway_isolated_when_versions_go_on_then_it_is_ready_only_with_the_newest_in_force() {
     for (seed, seconds) in [(70, 1.5), (71, 2.0), (72, 3.0), (73, 8.0), (74, CUT)] {
         let mut campaign = quiet(seed);
         let at = 3;
-        cut(&mut campaign, Trouble::CutWhole, at);
+        partition(&mut campaign, Fault::Isolate, at);
         campaign.fleet.pass(1.4);
         let order = campaign.order(5, 7);
         assert_eq!(campaign.put(0, order), Response::Accepted);
@@ -265,7 +261,7 @@
         let (one, other) = (campaign.order(5, 6), campaign.order(5, 6));
         let old = leader(&campaign);
         let calls = [campaign.put_call(one), campaign.put_call(other)];
-        let machines = others(&campaign, old);
+        let machines = campaign.fleet.others(old);
         for (call, machine) in calls.into_iter().zip(&machines) {
             campaign.fleet.call(*machine, call);
         }
@@ -308,27 +304,26 @@
 }
 
 #[test]
-fn given_seeds_that_begin_with_a_machine_cut_off_when_others_restart_then_orders_at_them_are_taken_soon() {
-    for (seed, trouble) in
-        [(160, Trouble::CutWhole), (161, Trouble::CutFromCore), (162, Trouble::CutOutbound)]
+fn given_seeds_that_begin_with_a_machine_isolated_when_others_restart_then_orders_at_them_are_taken_soon() {
+    for (seed, fault) in [(160, Fault::Isolate), (161, Fault::PartitionFromCore), (162, Fault::BlockOutbound)]
     {
         let mut campaign = busy(seed);
-        cut(&mut campaign, trouble, 0);
+        partition(&mut campaign, fault, 0);
         campaign.pass(1.0);
         for at in [3, 4] {
             campaign.fleet.kill(at, true);
             campaign.fleet.start(at, false);
         }
         campaign.fleet.pass(2.0);
-        assert!(ready(&campaign, 3) && ready(&campaign, 4), "{trouble:?}");
+        assert!(ready(&campaign, 3) && ready(&campaign, 4), "{fault:?}");
         let order = campaign.order(1_000_000, 1_000_001);
         let since = campaign.fleet.now;
-        assert_eq!(campaign.put(3, order), Response::Conflict, "{trouble:?}: a clear answer");
+        assert_eq!(campaign.put(3, order), Response::Conflict, "{fault:?}: a clear answer");
         assert!(campaign.fleet.now - since < SECOND);
         campaign.pass(CUT);
         campaign.heal();
         campaign.pass(3.0);
-        assert_eq!(campaign.judge(), Ok(()), "{trouble:?}");
+        assert_eq!(campaign.judge(), Ok(()), "{fault:?}");
     }
 }
 
--- a/crates/coordinator/tests/operators/trouble.rs
+++ b/crates/coordinator/tests/operators/faults.rs
@@ -6,19 +6,19 @@
 use crate::operator::Campaign;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     /// Nothing passes to or from any other machine.
-    CutWhole,
+    Isolate,
     /// It hears the others; they do not hear it.
-    CutOutbound,
+    BlockOutbound,
     /// They hear it; it does not hear them.
-    CutInbound,
+    BlockInbound,
     /// From the other machines with a disk only.
-    CutFromCore,
+    PartitionFromCore,
     /// Cut off, and cut off again a moment after it is back.
-    CutAgain,
+    IsolateAgain,
     /// Cut off and restarted; then the others of the core, one after the other.
-    CutAndRestart,
+    IsolateAndRestart,
     Kill,
     PowerLoss,
     /// It comes back with an empty disk.
@@ -28,21 +28,21 @@
     PowerLossOfAll,
 }
 
-pub const TROUBLES: [Trouble; 11] = [
-    Trouble::CutWhole,
-    Trouble::CutOutbound,
-    Trouble::CutInbound,
-    Trouble::CutFromCore,
-    Trouble::CutAgain,
-    Trouble::CutAndRestart,
-    Trouble::Kill,
-    Trouble::PowerLoss,
-    Trouble::Wipe,
-    Trouble::Freeze,
-    Trouble::PowerLossOfAll,
+pub const FAULTS: [Fault; 11] = [
+    Fault::Isolate,
+    Fault::BlockOutbound,
+    Fault::BlockInbound,
+    Fault::PartitionFromCore,
+    Fault::IsolateAgain,
+    Fault::IsolateAndRestart,
+    Fault::Kill,
+    Fault::PowerLoss,
+    Fault::Wipe,
+    Fault::Freeze,
+    Fault::PowerLossOfAll,
 ];
 
-/// Whom a trouble befalls.
+/// Whom a fault befalls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Victim {
     Leader,
@@ -65,10 +65,6 @@
     machines.filter(|(_, m)| m.gateway && m.disk.is_some()).map(|(at, _)| at).collect()
 }
 
-fn others(fleet: &Fleet, of: usize) -> Vec<usize> {
-    (0..fleet.machines.len()).filter(|at| *at != of).collect()
-}
-
 /// The machine that is meant now.
 pub fn pick(fleet: &Fleet, victim: Victim) -> usize {
     let core = core(fleet);
@@ -81,54 +77,54 @@
     }
 }
 
-/// Cuts a machine off in the way of a trouble.
-pub fn cut(campaign: &mut Campaign, trouble: Trouble, at: usize) {
+/// Cuts a machine off in the way of a fault.
+pub fn partition(campaign: &mut Campaign, fault: Fault, at: usize) {
     let fleet = &mut campaign.fleet;
-    let (all, core) = (others(fleet, at), core(fleet));
+    let (all, core) = (fleet.others(at), core(fleet));
     let rest: Vec<usize> = core.into_iter().filter(|other| *other != at).collect();
-    match trouble {
-        Trouble::CutOutbound => fleet.cut_one_way(&[at], &all),
-        Trouble::CutInbound => fleet.cut_one_way(&all, &[at]),
-        Trouble::CutFromCore => fleet.cut(&[at], &rest),
-        _ => fleet.cut(&[at], &all),
+    match fault {
+        Fault::BlockOutbound => fleet.partition_one_way(&[at], &all),
+        Fault::BlockInbound => fleet.partition_one_way(&all, &[at]),
+        Fault::PartitionFromCore => fleet.partition(&[at], &rest),
+        _ => fleet.partition(&[at], &all),
     }
     campaign.lose_quorum(&[at]);
 }
 
-/// A trouble befalls a machine for so many seconds, while the operators work; then all is well again.
-pub fn befall(campaign: &mut Campaign, trouble: Trouble, at: usize, seconds: f64) {
-    match trouble {
-        Trouble::CutWhole | Trouble::CutOutbound | Trouble::CutInbound | Trouble::CutFromCore => {
-            cut(campaign, trouble, at);
+/// A fault befalls a machine for so many seconds, while the operators work; then all is well again.
+pub fn inject(campaign: &mut Campaign, fault: Fault, at: usize, seconds: f64) {
+    match fault {
+        Fault::Isolate | Fault::BlockOutbound | Fault::BlockInbound | Fault::PartitionFromCore => {
+            partition(campaign, fault, at);
             campaign.pass(seconds);
             campaign.heal();
         }
-        Trouble::CutAgain => {
+        Fault::IsolateAgain => {
             for _ in 0..3 {
-                cut(campaign, trouble, at);
+                partition(campaign, fault, at);
                 campaign.pass(seconds / 3.0);
                 campaign.heal();
                 campaign.pass(0.3);
             }
         }
-        Trouble::CutAndRestart => cut_and_restart(campaign, at, seconds),
-        Trouble::Kill | Trouble::PowerLoss => {
-            campaign.fleet.kill(at, trouble == Trouble::PowerLoss);
+        Fault::IsolateAndRestart => isolate_and_restart(campaign, at, seconds),
+        Fault::Kill | Fault::PowerLoss => {
+            campaign.fleet.kill(at, fault == Fault::PowerLoss);
             campaign.pass(seconds);
             campaign.fleet.start(at, false);
         }
-        Trouble::Wipe => {
+        Fault::Wipe => {
             campaign.fleet.wipe(at);
             campaign.pass(seconds);
             campaign.fleet.start(at, false);
             campaign.pass(REJOIN);
         }
-        Trouble::Freeze => {
+        Fault::Freeze => {
             campaign.freeze(at);
             campaign.pass(seconds);
             campaign.fleet.thaw(at);
         }
-        Trouble::PowerLossOfAll => {
+        Fault::PowerLossOfAll => {
             let core = core(&campaign.fleet);
             core.iter().for_each(|at| campaign.fleet.kill(*at, true));
             campaign.pass(0.5);
@@ -137,8 +133,8 @@
     }
 }
 
-fn cut_and_restart(campaign: &mut Campaign, at: usize, seconds: f64) {
-    cut(campaign, Trouble::CutWhole, at);
+fn isolate_and_restart(campaign: &mut Campaign, at: usize, seconds: f64) {
+    partition(campaign, Fault::Isolate, at);
     campaign.pass(seconds / 2.0);
     restart(campaign, at);
     campaign.pass(seconds / 2.0);
--- a/crates/coordinator/tests/operators/history.rs
+++ b/crates/coordinator/tests/operators/history.rs
@@ -12,7 +12,7 @@
 pub type OrderId = usize;
 
 /// Callers move on after this long.
-pub const CALLER_PATIENCE: Time = SECOND;
+pub const CALLER_TIMEOUT: Time = SECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invocation {
@@ -181,7 +181,7 @@
 }
 
 fn check_in_time(history: &[Operation]) -> Result<(), Violation> {
-    let late = |op: &Operation| op.undisturbed && op.responded - op.invoked >= CALLER_PATIENCE;
+    let late = |op: &Operation| op.undisturbed && op.responded - op.invoked >= CALLER_TIMEOUT;
     match history.iter().position(late) {
         Some(operation) => Err(Violation::AnsweredLate { operation }),
         None => Ok(()),
--- a/crates/coordinator/tests/operators/main.rs
+++ b/crates/coordinator/tests/operators/main.rs
@@ -6,10 +6,10 @@
 
 mod batch_stories;
 mod checker_stories;
-mod courses;
-mod errands;
+mod configuration_stories;
+mod faults;
 mod history;
 mod operator;
-mod stories;
-mod trouble;
+mod requests;
+mod schedules;
 mod worker_stories;
--- a/crates/coordinator/tests/operators/operator.rs
+++ b/crates/coordinator/tests/operators/operator.rs
@@ -10,8 +10,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::common::{Fleet, MS};
-use crate::errands::Errands;
-use crate::history::{CALLER_PATIENCE, Invocation, Operation, OrderId, Response, Violation, check};
+use crate::history::{CALLER_TIMEOUT, Invocation, Operation, OrderId, Response, Violation, check};
+use crate::requests::Requests;
 
 /// Between two looks of the operators at their answers.
 pub const STEP: Time = 20 * MS;
@@ -43,7 +43,7 @@
     operation: usize,
     ticket: u64,
     machine: usize,
-    life: u32,
+    incarnation: u32,
 }
 
 struct Operator {
@@ -86,7 +86,7 @@
     closed: bool,
     pub history: Vec<Operation>,
     /// Callers beside the operators, where there are any.
-    errands: Option<Errands>,
+    requests: Option<Requests>,
     seen_in_force: usize,
     known_in_force: BTreeSet<OrderId>,
     /// Machines that cannot exchange messages with a majority of the core, and since when.
@@ -119,7 +119,7 @@
             operators: Vec::new(),
             closed: false,
             history: Vec::new(),
-            errands: None,
+            requests: None,
             seen_in_force: 0,
             known_in_force: BTreeSet::new(),
             without_quorum: BTreeMap::new(),
@@ -204,9 +204,9 @@
             without_quorum: cut_for.is_some_and(|time| time > ON_ITS_WAY),
             undisturbed: !self.fleet.machines[machine].frozen,
         });
-        let (operation, life) = (self.history.len() - 1, self.fleet.life(machine));
+        let (operation, incarnation) = (self.history.len() - 1, self.fleet.incarnation(machine));
         let ticket = self.fleet.call(machine, call);
-        Pending { plan, operation, ticket, machine, life }
+        Pending { plan, operation, ticket, machine, incarnation }
     }
 
     /// A configuration that no version makes valid.
@@ -222,7 +222,7 @@
 
     /// Takes the answer into the history, or closes the call without one. True where the answer was clear.
     fn conclude(&mut self, pending: &Pending) -> bool {
-        let alive = self.fleet.life(pending.machine) == pending.life;
+        let alive = self.fleet.incarnation(pending.machine) == pending.incarnation;
         let operation = &mut self.history[pending.operation];
         let Some((responded, answer)) = self.fleet.answers.get(&pending.ticket) else {
             operation.undisturbed &= alive;
@@ -255,20 +255,20 @@
                 self.step(at);
             }
             if !self.closed {
-                self.run_errands();
+                self.run_requests();
             }
         }
     }
 
     /// So many callers of batch jobs and workers go about their business from now on.
-    pub fn add_errands(&mut self, callers: usize) {
-        self.errands = Some(Errands::new(callers, self.fleet.now));
+    pub fn add_requests(&mut self, callers: usize) {
+        self.requests = Some(Requests::new(callers, self.fleet.now));
     }
 
-    fn run_errands(&mut self) {
+    fn run_requests(&mut self) {
         let running = self.running();
-        if let Some(errands) = &mut self.errands {
-            errands.step(&mut self.fleet, &running, &mut self.rng);
+        if let Some(requests) = &mut self.requests {
+            requests.step(&mut self.fleet, &running, &mut self.rng);
         }
     }
 
@@ -276,7 +276,7 @@
         if let Some(pending) = self.operators[at].pending.take() {
             let waited = self.fleet.now - self.history[pending.operation].invoked;
             let answered = self.fleet.answers.contains_key(&pending.ticket);
-            if !answered && waited < CALLER_PATIENCE {
+            if !answered && waited < CALLER_TIMEOUT {
                 self.operators[at].pending = Some(pending);
                 return;
             }
@@ -422,8 +422,8 @@
             assert!(matches!(response, Response::Value(Some(_))), "at {machine}: {response:?}");
         }
         let running = self.running();
-        if let Some(errands) = &mut self.errands {
-            errands.judge(&mut self.fleet, &running);
+        if let Some(requests) = &mut self.requests {
+            requests.judge(&mut self.fleet, &running);
         }
         self.fleet.pass(2.0);
         self.note_in_force();
@@ -444,7 +444,7 @@
         }
     }
 
-    /// Within one life of a machine no older version comes into force, and at the end all act on the same one.
+    /// Within one incarnation of a machine no older version comes into force, and at the end all act on the same one.
     fn check_versions_rise(&self) {
         for machine in self.fleet.machines.iter().filter(|m| m.coordinator.is_some()) {
             assert!(machine.in_force.is_sorted_by(|a, b| a < b), "{}: {:?}", machine.name, machine.in_force);
--- a/crates/coordinator/tests/operators/errands.rs
+++ b/crates/coordinator/tests/operators/requests.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::common::{Fleet, MS, heartbeat, job};
-use crate::history::CALLER_PATIENCE;
+use crate::history::CALLER_TIMEOUT;
 
 const ITEMS: usize = 3;
 /// Pause between two calls of one caller, at most.
@@ -44,7 +44,7 @@
     status: u16,
 }
 
-pub struct Errands {
+pub struct Requests {
     callers: Vec<Caller>,
     pub broken: Vec<Broken>,
 }
@@ -112,9 +112,9 @@
     }
 }
 
-impl Errands {
+impl Requests {
     pub fn new(callers: usize, now: Time) -> Self {
-        Errands { callers: (0..callers).map(|nth| Caller::new(nth, now)).collect(), broken: Vec::new() }
+        Requests { callers: (0..callers).map(|nth| Caller::new(nth, now)).collect(), broken: Vec::new() }
     }
 
     /// Takes answers and makes the next calls at machines that run.
@@ -122,7 +122,7 @@
         for caller in &mut self.callers {
             if let Some((ticket, step, invoked)) = caller.pending {
                 let answer = fleet.answers.get(&ticket).map(|(_, answer)| answer.status);
-                if answer.is_none() && fleet.now - invoked < 4 * CALLER_PATIENCE {
+                if answer.is_none() && fleet.now - invoked < 4 * CALLER_TIMEOUT {
                     continue;
                 }
                 caller.pending = None;
--- a/crates/coordinator/tests/operators/worker_stories.rs
+++ b/crates/coordinator/tests/operators/worker_stories.rs
@@ -9,10 +9,6 @@
 const CUT: f64 = 20.0;
 const BEAT: f64 = 1.2;
 
-fn others(fleet: &Fleet, of: usize) -> Vec<usize> {
-    (0..fleet.machines.len()).filter(|at| *at != of).collect()
-}
-
 fn phases(fleet: &Fleet, id: &str) -> Vec<Option<Phase>> {
     fleet.machines.iter().map(|machine| machine.workers.get(id).map(|worker| worker.phase)).collect()
 }
@@ -54,10 +50,10 @@
 }
 
 #[test]
-fn given_a_machine_that_does_not_know_a_worker_when_it_says_goodbye_there_then_all_know_that_it_is_gone() {
+fn given_a_machine_that_does_not_know_a_worker_when_it_deregisters_there_then_all_know_that_it_is_gone() {
     let mut fleet = settled(3, 3, 0, 1);
-    let rest = others(&fleet, 4);
-    fleet.cut(&[4], &rest);
+    let rest = fleet.others(4);
+    fleet.partition(&[4], &rest);
     assert_eq!(fleet.ask(0, heartbeat("w1", "notary", "ready", 7), 1.0).map(|a| a.status), Some(200));
     fleet.pass(0.5);
     fleet.heal();
@@ -70,7 +66,7 @@
 }
 
 #[test]
-fn given_a_worker_that_said_goodbye_when_beats_come_late_or_it_says_so_again_then_it_stays_gone() {
+fn given_a_worker_that_deregistered_when_heartbeats_come_late_or_it_says_so_again_then_it_stays_gone() {
     let mut fleet = settled(3, 3, 0, 2);
     fleet.ask(0, heartbeat("w1", "notary", "ready", 7), 1.0);
     fleet.pass(0.5);
@@ -85,13 +81,13 @@
 }
 
 #[test]
-fn given_a_machine_cut_off_when_workers_call_it_then_they_are_sent_on_and_their_word_is_kept() {
+fn given_a_machine_isolated_when_workers_call_it_then_they_are_redirected_and_their_state_is_kept() {
     let mut fleet = settled(3, 3, 0, 3);
     fleet.ask(0, heartbeat("w1", "notary", "ready", 1), 1.0);
     fleet.ask(0, heartbeat("w2", "notary", "ready", 1), 1.0);
     fleet.pass(1.0);
-    let rest = others(&fleet, 2);
-    fleet.cut(&[2], &rest);
+    let rest = fleet.others(2);
+    fleet.partition(&[2], &rest);
     fleet.pass(2.0);
     for call in
         [heartbeat("w1", "notary", "draining", 2), deregister("w2"), heartbeat("w3", "notary", "ready", 1)]
@@ -108,13 +104,13 @@
 }
 
 #[test]
-fn given_a_machine_that_nobody_hears_when_a_worker_says_that_it_leaves_then_it_is_sent_on() {
+fn given_a_machine_that_nobody_hears_when_a_worker_says_that_it_leaves_then_it_is_redirected() {
     let mut fleet = settled(3, 3, 0, 4);
     fleet.ask(0, heartbeat("w1", "notary", "ready", 1), 1.0);
     fleet.ask(0, heartbeat("w2", "notary", "ready", 1), 1.0);
     fleet.pass(1.0);
-    let rest = others(&fleet, 4);
-    fleet.cut_one_way(&[4], &rest);
+    let rest = fleet.others(4);
+    fleet.partition_one_way(&[4], &rest);
     fleet.pass(5.0);
     for call in [heartbeat("w1", "notary", "draining", 2), deregister("w2")] {
         let since = fleet.now;
@@ -130,7 +126,8 @@
 }
 
 #[test]
-fn given_a_worker_that_beats_at_one_machine_when_that_is_cut_off_then_no_other_calls_it_silent() {
+fn given_a_worker_that_sends_heartbeats_to_one_machine_when_that_is_isolated_then_no_other_calls_it_unresponsive()
+ {
     for seed in 0..8 {
         let mut fleet = settled(3, 2, 0, 10 + seed);
         let mut worker = Beating { machine: 0, call_seq: 0 };
@@ -138,8 +135,8 @@
             worker.heartbeat(&mut fleet, "ready");
         });
         let at = worker.machine;
-        let rest = others(&fleet, at);
-        fleet.cut(&[at], &rest);
+        let rest = fleet.others(at);
+        fleet.partition(&[at], &rest);
         let end = fleet.now + (CUT * SECOND as f64) as Time;
         while fleet.now < end {
             assert_eq!(worker.heartbeat(&mut fleet, "ready"), 200, "seed {seed}");
@@ -158,7 +155,8 @@
 }
 
 #[test]
-fn given_a_worker_that_beats_at_one_machine_when_that_is_cut_from_the_core_only_then_none_calls_it_silent() {
+fn given_a_worker_that_sends_heartbeats_to_one_machine_when_that_is_partitioned_from_the_core_only_then_none_calls_it_unresponsive()
+ {
     for seed in 0..8 {
         let mut fleet = settled(3, 2, 0, 30 + seed);
         let mut worker = Beating { machine: 0, call_seq: 0 };
@@ -167,7 +165,7 @@
         });
         let at = worker.machine;
         let core: Vec<usize> = (0..3).filter(|other| *other != at).collect();
-        fleet.cut(&[at], &core);
+        fleet.partition(&[at], &core);
         let end = fleet.now + (CUT * SECOND as f64) as Time;
         while fleet.now < end {
             assert_eq!(worker.heartbeat(&mut fleet, "ready"), 200, "seed {seed}");
--- a/crates/coordinator/tests/quota.rs
+++ b/crates/coordinator/tests/quota.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::{Fleet, MS, jobs_of, settle, settled, submit};
+use common::{Fleet, MS, jobs_of, read, settle, settled, submit};
 use rainlug::SECOND;
 use rainlug_coordinator::{BATCH_SHARDS, Call, shard_of_job, shard_of_route};
 use rand::{Rng, SeedableRng};
@@ -20,10 +20,6 @@
 /// A reservation is released after its grace, by the next report.
 const LEAK: f64 = 30.0 + 5.0 + 2.0;
 
-fn read(id: &str) -> Call {
-    Call::Read { job: id.to_owned(), since: 0, wait: 0 }
-}
-
 fn status(fleet: &mut Fleet, at: usize, call: Call) -> u16 {
     fleet.ask(at, call, 4.0).expect("an answer").status
 }
@@ -110,7 +106,7 @@
 }
 
 #[test]
-fn given_many_gateways_when_more_comes_at_once_than_may_wait_then_just_the_quota_is_taken_over_all_parts() {
+fn given_many_gateways_when_more_comes_at_once_than_may_wait_then_just_the_quota_is_taken_over_all_shards() {
     for seed in 0..6 {
         let mut fleet = fleet(5, seed, LONG);
         let mut checker = Checker::default();
@@ -142,7 +138,7 @@
 }
 
 #[test]
-fn given_nine_tenths_of_the_quota_when_a_batch_job_fits_then_it_is_taken_in_each_part_and_no_larger_one() {
+fn given_nine_tenths_of_the_quota_when_a_batch_job_fits_then_it_is_taken_in_each_shard_and_no_larger_one() {
     for shard in 1..=BATCH_SHARDS {
         let mut fleet = fleet(4, 100 + u64::from(shard), LONG);
         for nth in 0..9 {
@@ -156,7 +152,7 @@
 }
 
 #[test]
-fn given_the_whole_quota_when_items_finish_or_lots_end_then_their_tokens_come_back_within_a_second() {
+fn given_the_whole_quota_when_items_finish_or_batch_jobs_end_then_their_tokens_come_back_within_a_second() {
     for seed in 0..4 {
         let mut fleet = fleet(4, 200 + seed, 300 * MS);
         let mut checker = Checker::default();
@@ -217,7 +213,7 @@
 }
 
 #[test]
-fn given_a_submission_when_the_lots_leader_is_killed_then_nothing_is_lost_or_taken_over_the_quota() {
+fn given_a_submission_when_the_batch_jobs_leader_is_killed_then_nothing_is_lost_or_taken_over_the_quota() {
     a_leader_is_killed_during_a_submission(false);
 }
 
@@ -262,22 +258,14 @@
     }
 }
 
-/// Members of a part's group, by the place of their machines.
-fn group(fleet: &Fleet, shard: u16) -> Vec<usize> {
-    let leader = fleet.leader(shard).expect("a leader");
-    let members = fleet.machines[leader].coordinator.as_ref().expect("it runs").shard_status(shard).members;
-    let place = |at| fleet.machines.iter().position(|machine| machine.at == at);
-    members.iter().filter_map(|member| place(member.address)).collect()
-}
-
 #[test]
 fn given_a_ledger_without_a_quorum_when_a_batch_job_comes_then_it_is_refused_at_once_and_does_not_run() {
     for seed in 0..4 {
         let mut fleet = fleet(9, 600 + seed, 300 * MS);
         let quota_ledger = shard_of_route("lots");
-        let gone: Vec<usize> = group(&fleet, quota_ledger)[..2].to_vec();
+        let gone: Vec<usize> = fleet.members_of(quota_ledger).expect("a leader")[..2].to_vec();
         let lives = |shard: &u16| {
-            let members = group(&fleet, *shard);
+            let members = fleet.members_of(*shard).expect("a leader");
             members.iter().filter(|member| !gone.contains(member)).count() > members.len() / 2
         };
         let shard =
@@ -369,7 +357,7 @@
 }
 
 #[test]
-fn given_nine_stores_when_the_parts_are_founded_then_seats_and_leaders_are_spread() {
+fn given_nine_stores_when_the_shards_are_founded_then_members_and_leaders_are_spread() {
     let mut leaders = 0;
     for seed in 0..10 {
         for tolerate in [1, 2] {
@@ -377,7 +365,8 @@
             (fleet.tolerate, fleet.seeds) = (tolerate, 3);
             settle(&mut fleet);
             fleet.pass(3.0);
-            let groups: Vec<Vec<usize>> = (1..=BATCH_SHARDS).map(|shard| group(&fleet, shard)).collect();
+            let groups: Vec<Vec<usize>> =
+                (1..=BATCH_SHARDS).map(|shard| fleet.members_of(shard).expect("a leader")).collect();
             let seats: Vec<usize> = (2 * tolerate + 2..fleet.machines.len())
                 .map(|store| groups.iter().filter(|group| group.contains(&store)).count())
                 .collect();
@@ -393,13 +382,14 @@
 }
 
 #[test]
-fn given_nine_stores_when_one_goes_for_good_then_its_seats_go_to_several_others() {
+fn given_nine_stores_when_one_goes_for_good_then_its_replicas_go_to_several_others() {
     for seed in 0..6 {
         let mut fleet = fleet(9, 950 + seed, 300 * MS);
         let gone = GATEWAYS + seed as usize;
         fleet.kill(gone, true);
         fleet.pass(12.0);
-        let groups: Vec<Vec<usize>> = (1..=BATCH_SHARDS).map(|shard| group(&fleet, shard)).collect();
+        let groups: Vec<Vec<usize>> =
+            (1..=BATCH_SHARDS).map(|shard| fleet.members_of(shard).expect("a leader")).collect();
         assert!(groups.iter().all(|group| group.len() == 3 && !group.contains(&gone)), "seed {seed}");
         let seats = |store| groups.iter().filter(|group| group.contains(&store)).count();
         let most = (GATEWAYS..fleet.machines.len()).map(seats).max();
--- a/crates/coordinator/tests/cold_review_faults.rs
+++ b/crates/coordinator/tests/recovery_regressions.rs
@@ -2,14 +2,10 @@
 
 mod common;
 
-use common::{Fleet, MS, figure, jobs_of, settle, settled, stores, submit};
+use common::{Fleet, MS, figure, jobs_of, read, settle, settled, stores, submit};
 use rainlug::SECOND;
 use rainlug_coordinator::{BATCH_SHARDS, Call, shard_of_job, shard_of_route};
 
-fn read(id: &str) -> Call {
-    Call::Read { job: id.to_owned(), since: 0, wait: 0 }
-}
-
 /// The code of a snapshot's piece among records.
 const CHUNK: u8 = 6;
 
@@ -61,16 +57,8 @@
     }
 }
 
-/// Members of a part's group, by the place of their machines.
-fn group(fleet: &Fleet, shard: u16) -> Vec<usize> {
-    let Some(leader) = fleet.leader(shard) else { return Vec::new() };
-    let members = fleet.machines[leader].coordinator.as_ref().expect("it runs").shard_status(shard).members;
-    let place = |at| fleet.machines.iter().position(|machine| machine.at == at);
-    members.iter().filter_map(|member| place(member.address)).collect()
-}
-
 #[test]
-fn given_a_store_that_has_lost_its_seats_when_it_leads_another_part_then_it_takes_jobs() {
+fn given_a_store_that_has_lost_its_memberships_when_it_leads_another_shard_then_it_takes_jobs() {
     let mut starved = Vec::new();
     for seed in 0..4 {
         let mut fleet = Fleet::new(3, 1, 9, 7_100 + seed);
@@ -90,17 +78,19 @@
         let all = stores(&fleet);
         let odd = *all.iter().max_by(|x, y| of(&fleet, **x).total_cmp(&of(&fleet, **y))).expect("a store");
         let others: Vec<usize> = (0..fleet.machines.len()).filter(|at| *at != odd).collect();
-        let Some(shard) = (1..=BATCH_SHARDS).find(|shard| !group(&fleet, *shard).contains(&odd)) else {
+        let Some(shard) =
+            (1..=BATCH_SHARDS).find(|shard| !fleet.members_of(*shard).unwrap_or_default().contains(&odd))
+        else {
             continue;
         };
-        fleet.cut(&[odd], &others);
+        fleet.partition(&[odd], &others);
         fleet.pass(8.0);
         fleet.heal();
         // All outputs may go after 25 s.
         fleet.pass(60.0);
         // Members of a part that it was never in go for good, until it has a seat there.
         for _ in 0..4 {
-            let members = group(&fleet, shard);
+            let members = fleet.members_of(shard).unwrap_or_default();
             if members.contains(&odd) {
                 break;
             }
--- a/crates/coordinator/tests/promises.rs
+++ b/crates/coordinator/tests/rejected_submissions.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn given_a_part_without_a_leader_when_a_long_job_is_submitted_then_its_bytes_go_only_to_a_leader() {
+fn given_a_shard_without_a_leader_when_a_long_job_is_submitted_then_its_bytes_go_only_to_a_leader() {
     let mut fleet = settled(3, 1, 3, 91);
     let [ref first, ref long] = jobs_of(2, 2)[..] else { panic!("two names") };
     // Far more than all the groups say of their elections.
--- a/crates/coordinator/tests/relays.rs
+++ b/crates/coordinator/tests/relays.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Fleet, settled, submit};
+use common::{Fleet, read, settled, submit};
 use rainlug_coordinator::Call;
 
 /// Machines: a core of three, then plain gateways, then stores.
@@ -27,10 +27,6 @@
     fleet.ask(CUT, call, within).map(|answer| answer.status)
 }
 
-fn read(id: &str) -> Call {
-    Call::Read { job: id.to_owned(), since: 0, wait: 0 }
-}
-
 /// Given a gateway that is cut off from the core and the stores, either way or both, when it is sent a batch job, then that is taken
 /// within half a second, once, and can be read there.
 #[test]
@@ -38,9 +34,9 @@
     for (seed, way) in [(1, 0), (2, 1), (3, 2)] {
         let mut fleet = fleet(seed);
         match way {
-            0 => fleet.cut(&[CUT], &counted()),
-            1 => fleet.cut_one_way(&[CUT], &counted()),
-            _ => fleet.cut_one_way(&counted(), &[CUT]),
+            0 => fleet.partition(&[CUT], &counted()),
+            1 => fleet.partition_one_way(&[CUT], &counted()),
+            _ => fleet.partition_one_way(&counted(), &[CUT]),
         }
         for n in 0..8 {
             let id = format!("job-{n}");
@@ -55,11 +51,11 @@
 /// Given a gateway that is cut off from all others, when it is sent a batch job, then it does not say that the job will never run,
 /// unless that is so.
 #[test]
-fn who_is_cut_off_from_all_promises_nothing_false() {
+fn who_is_isolated_from_all_acknowledges_nothing_false() {
     for seed in 4..8 {
         let mut fleet = fleet(seed);
         let others: Vec<usize> = (0..CORE + PLAIN + STORES).filter(|at| *at != CUT).collect();
-        fleet.cut_one_way(&others, &[CUT]);
+        fleet.partition_one_way(&others, &[CUT]);
         let answered = status(&mut fleet, submit("job", ITEMS), 4.0).expect("an answer");
         fleet.heal();
         fleet.pass(3.0);
--- a/crates/coordinator/tests/spoken.rs
+++ b/crates/coordinator/tests/spoken.rs
@@ -65,7 +65,7 @@
     settle(&mut fleet);
     fleet.ask(2, Call::Configure { base: 5, text: configuration(8, "notary") }, 2.0);
     fleet.ask(1, Call::Configuration, 2.0);
-    fleet.cut(&[CALLER], &CUT_OFF);
+    fleet.partition(&[CALLER], &CUT_OFF);
     for job in (1..=BATCH_SHARDS).flat_map(|shard| jobs_of(shard, 1)) {
         fleet.ask(CALLER, submit(&job, 2), 4.0);
         fleet.pass(1.0);
--- a/crates/coordinator/tests/cold_review.rs
+++ b/crates/coordinator/tests/store_losses.rs
@@ -90,7 +90,7 @@
                 match how {
                     0 => lost.iter().for_each(|at| fleet.kill(*at, true)),
                     1 => lost.iter().for_each(|at| fleet.wipe(*at)),
-                    2 => fleet.cut(&lost, &others),
+                    2 => fleet.partition(&lost, &others),
                     _ => lost.iter().for_each(|at| fleet.freeze(*at)),
                 }
             }
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn given_parts_that_are_being_founded_when_as_many_stores_are_lost_as_may_be_then_all_parts_serve() {
+fn given_shards_that_are_being_founded_when_as_many_stores_are_lost_as_may_be_then_all_shards_serve() {
     for seed in 0..24 {
         for (count, tolerate) in [(3, 1), (4, 1), (5, 2), (9, 2)] {
             founding_with_losses(9_000 + seed, count, tolerate);
--- a/crates/coordinator/tests/losses.rs
+++ b/crates/coordinator/tests/successive_losses.rs
@@ -2,17 +2,13 @@
 
 mod common;
 
-use common::{Fleet, configuration, settled, submit};
+use common::{Fleet, configuration, read, settled, submit};
 use rainlug_coordinator::{Answer, BATCH_SHARDS, Call};
 
 const MS: i64 = 1_000;
 /// After a machine is back with an empty disk, this long passes before another loss.
 const BETWEEN_LOSSES: f64 = 5.0;
 
-fn read(id: &str) -> Call {
-    Call::Read { job: id.to_owned(), since: 0, wait: 0 }
-}
-
 fn status(answer: Option<Answer>) -> Option<u16> {
     answer.map(|a| a.status)
 }
@@ -111,7 +107,7 @@
 }
 
 #[test]
-fn given_two_stores_left_when_one_goes_for_good_and_an_empty_one_comes_elsewhere_then_it_takes_the_seat() {
+fn given_two_stores_left_when_one_goes_for_good_and_an_empty_one_comes_elsewhere_then_it_becomes_a_member() {
     for seed in 0..6 {
         let mut fleet = settled(3, 2, 3, 800 + seed);
         accepted(&mut fleet, 3, "before", 3.0);
@@ -138,7 +134,7 @@
 }
 
 #[test]
-fn given_a_store_that_was_fenced_when_it_comes_back_then_it_is_a_new_disk_that_can_bear_the_next_loss() {
+fn given_a_store_that_was_fenced_when_it_comes_back_then_it_is_a_new_disk_that_survives_the_next_loss() {
     let mut fleet = settled(3, 2, 3, 900);
     accepted(&mut fleet, 3, "before", 3.0);
     let name = fleet.machines[5].name.clone();
@@ -183,7 +179,7 @@
 }
 
 #[test]
-fn given_seven_stores_that_bear_two_losses_when_three_retire_then_two_at_once_are_still_borne() {
+fn given_seven_stores_that_survive_two_losses_when_three_retire_then_two_at_once_are_still_survived() {
     for seed in 0..4 {
         let mut fleet = Fleet::new(5, 2, 7, 60 + seed);
         fleet.tolerate = 2;
@@ -217,7 +213,7 @@
 }
 
 #[test]
-fn given_two_stores_left_and_no_other_when_one_is_cut_off_then_nothing_is_fenced_and_it_goes_on_when_healed()
+fn given_two_stores_left_and_no_other_when_one_is_isolated_then_nothing_is_fenced_and_it_goes_on_when_healed()
 {
     let mut fleet = settled(3, 2, 3, 77);
     accepted(&mut fleet, 3, "before", 3.0);
@@ -228,7 +224,7 @@
     let disks = |fleet: &Fleet| [6, 7].map(|at| fleet.machines[at].disk.as_ref().map(|d| d.id));
     let before = disks(&fleet);
     let rest: Vec<usize> = (0..6).chain([7]).collect();
-    fleet.cut(&[6], &rest);
+    fleet.partition(&[6], &rest);
     let refused = fleet.ask(2, submit("during", 5), 4.0);
     assert!(refused.as_ref().is_none_or(|a| a.status >= 500), "{refused:?}");
     fleet.pass(20.0);
--- a/crates/coordinator/tests/vacating.rs
+++ b/crates/coordinator/tests/tombstones.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_store_that_has_no_seat_any_more_keeps_nothing_of_the_part_but_its_vote() {
+fn a_store_that_is_no_member_any_more_keeps_nothing_of_the_shard_but_its_vote() {
     let (mut fleet, id, out) = with_lost_seat(41);
     fleet.pass(30.0);
     assert!(!is_member(&fleet, out), "another one has its seat");
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_store_that_gave_up_a_part_is_given_a_seat_again_and_filled() {
+fn a_store_that_dropped_a_shard_is_a_member_again_and_filled() {
     let (mut fleet, id, out) = with_lost_seat(42);
     fleet.pass(30.0);
     let gone = followers(&fleet).remove(0);
@@ -104,13 +104,13 @@
 }
 
 #[test]
-fn a_store_that_was_added_and_is_not_on_the_roster_yet_keeps_the_part() {
+fn a_store_that_was_added_and_is_not_in_the_topology_yet_keeps_the_shard() {
     let (mut fleet, id) = with_job(43);
     let (gateways, stores): (Vec<usize>, Vec<usize>) = ((0..5).collect(), STORES.collect());
     let new = spare(&fleet);
     let out = followers(&fleet).remove(0);
     // Nobody can tell the configuration's part of the new group.
-    fleet.cut(&gateways, &stores);
+    fleet.partition(&gateways, &stores);
     fleet.kill(out, true);
     fleet.pass(8.0);
     assert!(is_member(&fleet, new), "it has the seat of the one that is gone");
@@ -149,19 +149,19 @@
 }
 
 #[test]
-fn a_store_that_is_cut_off_keeps_the_part() {
+fn a_store_that_is_isolated_keeps_the_shard() {
     let (mut fleet, _) = with_job(46);
     let out = followers(&fleet).remove(0);
     let others: Vec<usize> = (0..9).filter(|at| *at != out).collect();
     // For it, it is still in the group: nothing that it knows says otherwise.
-    fleet.cut(&[out], &others);
+    fleet.partition(&[out], &others);
     fleet.pass(30.0);
     assert!(!is_member(&fleet, out));
     assert!(state_bytes(&fleet, out) > 0.0);
 }
 
 #[test]
-fn stores_with_seats_never_give_up_a_part() {
+fn stores_that_are_members_never_drop_a_shard() {
     let (mut fleet, _) = with_job(45);
     for at in STORES {
         fleet.kill(at, true);
--- a/crates/coordinator/tests/uncommitted.rs
+++ b/crates/coordinator/tests/uncommitted_limits.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn given_the_leaders_disk_stalls_then_no_more_items_are_begun_until_it_writes_again() {
+fn given_the_leaders_disk_stalls_then_no_more_items_are_started_until_it_writes_again() {
     let mut fleet = with_jobs(52);
     fleet.output_padding = 0;
     let all: Vec<usize> = STORES.collect();
