--- a/crates/tier/src/operator/client.rs
+++ b/crates/tier/src/operator/client.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use nanoserde::DeJson;
-use rainlug_registry::Configuration;
+use rainlug_registry::is_json;
 use rainlug_sim_worker::client::{self, Ask, Response};
 use tokio::time::{Instant, sleep};
 
@@ -79,14 +79,6 @@
     String::from_utf8(body.to_vec()).map_err(|_| Error::Unreadable("the answer"))
 }
 
-/// Whether a body is JSON. Nanoserde panics on some texts that are not, so it must be given none; the configuration's parser tells.
-fn is_json(body: &Bytes) -> bool {
-    match Configuration::parse(body) {
-        Ok(_) => true,
-        Err(findings) => !findings.0.iter().any(|f| f.path == "/" && f.expected.starts_with("JSON expected")),
-    }
-}
-
 /// Reads a body as JSON; `name` says in an error what it should have been.
 ///
 /// # Errors
