--- a/crates/coordinator/src/listing.rs
+++ b/crates/coordinator/src/listing.rs
@@ -11,7 +11,9 @@
 /// A process of the tier.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberListing {
+    /// The machine's name.
     pub name: String,
+    /// The failure domain that it is in.
     pub zone: String,
     /// `gateway` or `store`; empty where its membership card does not say.
     pub role: &'static str,
@@ -28,20 +30,28 @@
 /// A worker, as the gossip has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerListing {
+    /// Its id, as it calls itself.
     pub id: String,
+    /// The service that it belongs to.
     pub service: String,
+    /// The failure domain that it is in.
     pub zone: String,
+    /// Where it takes requests.
     pub address: SocketAddr,
     /// `ready`, `silent` or `draining`.
     pub phase: &'static str,
+    /// How many requests it runs at once.
     pub slots: u32,
+    /// The number of its last call.
     pub call_seq: u64,
 }
 
 /// A store in the topology.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreListing {
+    /// The machine's name.
     pub name: String,
+    /// The failure domain that it is in.
     pub zone: String,
     /// Where peers reach it.
     pub peer_address: SocketAddr,
