--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,7 +1,7 @@
 //! Raft consensus, without I/O: one replica of one shard of the tier's state.
 //!
 //! A [`Replica`] is a state machine of its own. Time, randomness, messages of other members and what the disk has synced are passed
-//! in; messages, records for the disk and committed commands come out as a [`Ready`]. So the tests run whole groups on a virtual
+//! in; messages, records for the disk and committed commands come out as a [`Ready`]. So the tests run whole replica sets on a virtual
 //! clock, and the processes drive it from one thread.
 //!
 //! It follows Ongaro's thesis (*Consensus: Bridging Theory and Practice*, 2014; "Raft" with a section number in comments), with:
@@ -13,8 +13,8 @@
 //! - fenced disks, that have no part in breaking the tie of an even replica set ([`Quorums`]);
 //! - a minimum of disks that an entry must be on, beside a majority ([`Settings::min_replicas`]).
 //!
-//! A member is a disk: a process that comes back without its disk is a member with a new id, and votes only once the replica set has
-//! taken that id in.
+//! A member is a disk: a process that comes back without its disk is a member with a new id, and votes only once the replica set
+//! includes that id.
 
 #![warn(missing_docs)]
 
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -97,7 +97,7 @@
     pub(crate) position: LogPosition,
     /// The replica set as of that entry.
     pub(crate) members: Vec<Member>,
-    /// Tells the states that one leader sends apart.
+    /// Which of the leader's states it is of.
     pub(crate) source: u64,
     /// How many chunks the snapshot has.
     pub(crate) chunk_count: u32,
--- a/crates/consensus/src/quorum.rs
+++ b/crates/consensus/src/quorum.rs
@@ -1,7 +1,7 @@
 //! Quorums of a replica set, some of whose members may be fenced.
 //!
 //! A quorum is a majority of the members. Where the replica set is of even size and has a fenced member, one half of it without any
-//! fenced member is a quorum too: a replica set of two that has lost one disk for good goes on with the other.
+//! fenced member is a quorum too: a replica set of two that has lost one disk for good continues with the other.
 //!
 //! Why any two quorums of one replica set have a member in common: a majority meets each half. Two halves that are formed under
 //! fences F and F' are disjoint only if together they are the whole set. Fences are decided in one order by another shard and are
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -70,7 +70,7 @@
 
     role: Role,
     leader: Option<Member>,
-    /// When a leader of this term was last heard from.
+    /// When a leader of this term last sent a message.
     last_leader_contact: Option<Time>,
     /// When to campaign.
     election_deadline: Time,
--- a/crates/consensus/src/replica/apply.rs
+++ b/crates/consensus/src/replica/apply.rs
@@ -43,7 +43,7 @@
         self.restore_steps.push_back(RestoreStep::Begin);
     }
 
-    /// Gives up the state that was begun.
+    /// Abandons the state that was begun.
     pub(super) fn abandon_restore(&mut self) {
         self.drop_unfinished_restore();
         self.restore_steps.push_back(RestoreStep::Abandon);
--- a/crates/consensus/src/replica/commit.rs
+++ b/crates/consensus/src/replica/commit.rs
@@ -17,7 +17,7 @@
         }
     }
 
-    /// The entries up to this index are committed. Where the newest replica set is among them, a leader tells its followers, and
+    /// The entries up to this index are committed. Where the newest replica set is among them, a leader informs its followers, and
     /// steps down where it is not a member any more (Raft 4.2.2).
     pub(super) fn commit_to(&mut self, index: Index) {
         self.commit_index = self.commit_index.max(index.min(self.log.last_index()));
@@ -32,7 +32,7 @@
         if self.role != Role::Leader {
             return;
         }
-        // A member that leaves is told now or never.
+        // A member that was removed gets no later message.
         self.is_broadcast_pending = true;
         self.replicate();
         let members = &self.log.replica_set().members;
--- a/crates/consensus/src/replica/election.rs
+++ b/crates/consensus/src/replica/election.rs
@@ -64,7 +64,7 @@
         Body::RequestVote(VoteRequest { is_pre_vote, for_term, last: self.log.last() })
     }
 
-    /// Goes on to the next part of the campaign where the votes are enough.
+    /// Begins the next phase of the campaign, or leads, where the votes are enough.
     pub(super) fn count_votes(&mut self) {
         let is_elected = self.is_member() && self.is_elected_by_quorums();
         match self.role {
--- a/crates/consensus/src/replica/receive.rs
+++ b/crates/consensus/src/replica/receive.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Whether it follows the sender, who claims to lead this term; one of an earlier term is told of this one.
+    /// Whether it follows the sender, who claims to lead this term; one of an earlier term is answered with this one.
     fn follows(&mut self, sender: &Member, term: Term, read_round: u64, prev_index: Index) -> bool {
         if term != self.term {
             let rejected = AppendRejected { read_round, prev_index, hint: LogPosition::default() };
--- a/crates/consensus/src/replica/replication.rs
+++ b/crates/consensus/src/replica/replication.rs
@@ -89,7 +89,7 @@
     }
 
     /// Sends entries as far as the follower's state allows; whether it needs a message without entries beside: a probe, or one that
-    /// tells it what is committed.
+    /// informs it of the commit index.
     fn send_entries(&self, progress: &mut Progress, messages: &mut Vec<(Member, Bytes)>) -> bool {
         match &mut progress.state {
             ProgressState::Probe { is_sent } => !std::mem::replace(is_sent, true),
--- a/crates/consensus/src/replica/snapshot_transfer.rs
+++ b/crates/consensus/src/replica/snapshot_transfer.rs
@@ -1,7 +1,7 @@
 //! Snapshots that are sent and received, a chunk at a time (Raft 5.1).
 //!
 //! The receiver hands each chunk on at once, and acknowledges the snapshot once all of it is on the disk; until then the old state
-//! and the old records stand.
+//! and the old records stay in force.
 
 use std::sync::Arc;
 
--- a/crates/consensus/src/replica/tombstone.rs
+++ b/crates/consensus/src/replica/tombstone.rs
@@ -1,12 +1,12 @@
 //! A member that drops its log and state, because it is not in the replica set any more.
 //!
-//! It must not become a member that never was: the replica set may have had entries, and votes, of it. So it keeps on its disk what
-//! others may still rely on:
+//! It must not restart as a new member: others may rely on entries that it acknowledged and on votes that it gave. So it keeps on
+//! its disk:
 //!
 //! - its term and its vote in that term, so that it never votes twice in a term;
 //! - where its log ended (`vote_floor`). It may know, alone of all that can be reached, of a change that has ended an old replica
-//!   set. A member that missed that change may ask it for a vote of the old set. It refused because of its longer log, and goes on
-//!   to;
+//!   set. A member that missed that change may ask it for a vote of the old set. It refused because of its longer log, and still
+//!   does;
 //! - that it was here: with any record on the disk, a founding replica set does not count any more. Without that, founding members
 //!   that drop their logs could found the replica set once more.
 //!
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -1,5 +1,5 @@
 //! The state machine's state as a replica sees it: read chunk by chunk by whoever sends or writes it, and built chunk by chunk where
-//! it is restored. The crate never holds all of it at once.
+//! it is restored. This crate never has all of it in memory at once.
 
 use std::sync::Arc;
 
