--- a/crates/coordinator/src/batch_shard.rs
+++ b/crates/coordinator/src/batch_shard.rs
@@ -106,7 +106,7 @@
         let Some(shard) = self.shards.get_mut(&number) else { return };
         let StateMachine::BatchJobs(job_table) = &mut shard.state_machine else { return };
         let Ok(command) = Command::decode(bytes) else {
-            return self.violated(Invariant::CommandRead, &format_args!("part {number}"));
+            return self.violated(Invariant::CommandRead, &format_args!("shard {number}"));
         };
         if let Some(booked) = shard.quota_ledger.apply(&command) {
             return self.finish_ledger_command(number, booked, proposal);
--- a/crates/coordinator/src/calls.rs
+++ b/crates/coordinator/src/calls.rs
@@ -229,8 +229,10 @@
         }
         if pending.is_unrepeatable() && !matches!(answer.status, 200..300 | 429) {
             let waited = (self.now.steady - pending.started_at) / 1_000;
-            let text =
-                format!("{} of part {}, {} tries, {waited} ms", answer.status, call.shard, pending.attempts);
+            let text = format!(
+                "{} of shard {}, {} attempts, {waited} ms",
+                answer.status, call.shard, pending.attempts
+            );
             self.effects.push(Effect::Log("job not taken", text));
         }
         // This process may have stood still: what the answer grants may be released by now.
--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -355,7 +355,7 @@
         let now = self.now.steady;
         if let Some(shard) = self.shards.get_mut(&number) {
             if shard.replica.receive(now, message).is_err() {
-                self.effects.push(Effect::Log("garbage", format!("of part {number}'s group")));
+                self.effects.push(Effect::Log("garbage", format!("to shard {number}")));
             }
             self.process_output(number);
         }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -9,6 +9,8 @@
 //! The caller's loop: pass each event to its method ([`Coordinator::receive_frame`], [`Coordinator::persisted`], …), carry out
 //! [`Coordinator::take_effects`], and call [`Coordinator::handle_timeout`] at [`Coordinator::next_timeout`].
 
+#![warn(missing_docs)]
+
 mod admission;
 mod api;
 mod batch_shard;
--- a/crates/coordinator/src/replication.rs
+++ b/crates/coordinator/src/replication.rs
@@ -43,7 +43,7 @@
                 let state = shard.state_machine.snapshot_source(&shard.quota_ledger);
                 let size = state.size();
                 shard.replica.compact(self.now.steady, state);
-                self.effects.push(Effect::Log("snapshot", format!("part {number}: {size} bytes")));
+                self.effects.push(Effect::Log("snapshot", format!("shard {number}: {size} bytes")));
                 continue;
             }
             self.apply_output(number, output);
@@ -119,10 +119,10 @@
     fn restore(&mut self, number: u16, step: RestoreStep) {
         let Some(shard) = self.shards.get_mut(&number) else { return };
         if let RestoreStep::Finish(index) = step {
-            self.effects.push(Effect::Log("restore", format!("part {number}: as of entry {index}")));
+            self.effects.push(Effect::Log("restore", format!("shard {number}: as of entry {index}")));
         }
         if let Err(error) = shard.restore(step) {
-            self.violated(Invariant::StateRestored, &format_args!("part {number}: {error}"));
+            self.violated(Invariant::StateRestored, &format_args!("shard {number}: {error}"));
             self.discard_disk(number);
         }
     }
@@ -172,8 +172,8 @@
                 shard.schedule = Some(Schedule::new(job_table));
                 shard.reports = Some(UsageReports::new(job_table, term, self.now.wall));
             }
-            self.effects.push(Effect::Log("leads", format!("part {number}, term {term}")));
-            self.check(Invariant::LeaderWhole, is_whole, || format!("part {number}, term {term}"));
+            self.effects.push(Effect::Log("leads", format!("shard {number}, term {term}")));
+            self.check(Invariant::LeaderWhole, is_whole, || format!("shard {number}, term {term}"));
             if number == CONTROL {
                 self.publish_control_state();
             }
@@ -187,7 +187,7 @@
             }
             stranded.proposed.into_iter().for_each(|origin| self.redirect_proposed(number, origin));
             stranded.unproposed.into_iter().for_each(|origin| self.redirect(number, origin));
-            self.effects.push(Effect::Log("steps down", format!("part {number}, term {term}")));
+            self.effects.push(Effect::Log("steps down", format!("shard {number}, term {term}")));
         }
     }
 
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -238,14 +238,14 @@
             WriterEvent::Synced(synced) => {
                 if let Some(compaction) = synced.compaction {
                     let (length, took) = (synced.length, synced.duration.as_millis());
-                    log::event("disk", &format!("part {shard}: {compaction:?}, {length} bytes, {took} ms"));
+                    log::event("disk", &format!("shard {shard}: {compaction:?}, {length} bytes, {took} ms"));
                 }
                 self.step("saved", |coordinator, now| {
                     coordinator.persisted(now, shard, synced.ticket, synced.length)
                 });
             }
-            WriterEvent::Failing(error) => log::error("disk", &format!("part {shard} waits: {error}")),
-            WriterEvent::Recovered => log::event("disk", &format!("part {shard} is written again")),
+            WriterEvent::Failing(error) => log::error("disk", &format!("shard {shard} waits: {error}")),
+            WriterEvent::Recovered => log::event("disk", &format!("shard {shard} is written again")),
         }
     }
 
--- a/crates/tier/src/roles.rs
+++ b/crates/tier/src/roles.rs
@@ -63,7 +63,7 @@
     /// Time that it serves on for after its drain was heard
     #[bpaf(long, argument("MS"), fallback(2000), display_fallback)]
     drain_ms: u64,
-    /// Requests that it block_on_local at once
+    /// Requests that it runs at once
     #[bpaf(long, argument("N"), fallback(8), display_fallback)]
     slots: usize,
     /// Tokens that its memory holds
